--- a/packages/store/dispatch_limits.h
+++ b/packages/store/dispatch_limits.h
@@ -1,7 +1,7 @@
 #ifndef HICKORYWOOD_STORE_DISPATCH_LIMITS_H_
 #define HICKORYWOOD_STORE_DISPATCH_LIMITS_H_
 
-// The times and bounds of the dispatcher, with the grounds for each.
+// Timeouts, periods and limits of the dispatcher, with the reason for each.
 
 #include <chrono>
 #include <cstddef>
@@ -11,79 +11,87 @@
 
 using std::chrono::milliseconds;
 
-// Period of the pass over waiting and running tasks. A tenth of the time that
-// an event of a slow engine takes would find nothing new.
+// Period of the pass over waiting and running tasks. A slow engine takes longer
+// than this for one event, so a shorter period would find no changes.
 constexpr milliseconds kWatchPeriod{100};
 constexpr milliseconds kConnectTimeout{500};
-// Silence before a run's first event: its prompt may wait behind a full batch.
+// Maximum time from the request to the first event of a run. It is longer than
+// kEventTimeout because the prompt may wait behind a full batch.
 constexpr milliseconds kFirstEventTimeout{2500};
-// Silence between two events after which a run goes on elsewhere. An event
-// takes 30 to 200 ms on an engine that is up, also on a slow one.
+// Maximum time between two events of a run. After that the task continues on
+// another engine. A working engine, even a slow one, takes 30 to 200 ms for an
+// event.
 constexpr milliseconds kEventTimeout{900};
-// How long an engine is left alone after a failure; doubled by each further
-// one in a row.
+// Time for which an engine gets no new runs after a failure. Each further
+// failure in a row doubles it.
 constexpr milliseconds kAvoidAfterFailure{250};
 constexpr int kMostDoublings = 4;
-// Pause of a task that an engine did not take, so that it does not knock again
-// at once.
+// Minimum time before a task that an engine rejected is sent again.
 constexpr milliseconds kRetryPause{30};
-// Runs that one store is starting at once. All tasks of some steps in one turn
-// kept the loop of a new leader busy for longer than its followers wait for its
-// heartbeat: they elected another one, and that one did the same.
+// Maximum number of runs that one store is starting at the same time. Starting
+// all tasks of several steps at once kept the loop of a new leader busy for
+// longer than its followers wait for a heartbeat. They elected another leader,
+// which then had the same problem.
 constexpr size_t kMostStarting = 16;
-// Runs up to which the leader reads all streams itself. A stream has 20 events
-// a second, and 16 us of a core an event: a tenth of a small instance's share
-// each 100 streams, beside what commits take. What comes beyond goes to other
-// stores; below it their calls would cost more than they spare.
+// Number of runs up to which the leader reads all streams itself. A stream has
+// 20 events per second and each event takes 16 us of a core, so 100 streams
+// take a tenth of a small instance's CPU share, in addition to the commits.
+// Further runs go to other stores. Below this limit the calls to other stores
+// would cost more than they save.
 constexpr size_t kMostOwnRuns = 96;
-// Runs of one other store: its streams take as much of it, and losing it loses
-// no more.
+// Maximum number of runs on one other store. It bounds the CPU time that their
+// streams take there, and the number of runs that are lost with that store.
 constexpr size_t kMostRunsOfRunner = 128;
-// How long a runner's question is held back: while it has runs, so that silence
-// is seen soon, and while it has none.
+// Maximum time for which the leader delays its answer to a runner's poll. It is
+// shorter while the runner has runs, so that an unreachable runner is detected
+// soon.
 constexpr milliseconds kBusyWait{300};
 constexpr milliseconds kIdleWait{2000};
-// How much later than that an answer may come.
+// Additional time that a runner waits for an answer after that delay.
 constexpr milliseconds kAnswerSlack{400};
-// Without an answer for this long a runner ends all its runs, for its leader
-// may have given them to others...
+// A runner that gets no answer from its leader for this long cancels all its
+// runs, because the leader may have given their tasks to other runners.
 constexpr milliseconds kLeaderSilence{900};
-// ... which it does after this: later, so that no task runs twice for long.
+// The leader gives the tasks of an unreachable runner to others after this
+// time. It is longer than kLeaderSilence, so that no task runs twice for long.
 constexpr milliseconds kRunnerSilence{1200};
-// Without news of a run elsewhere for this long it is given to others: its
-// store ends it when its engine is silent for 2.5 s, and tells that at once. So
-// its news was lost on the way.
+// The leader gives a task to another runner when it gets no report of the run
+// for this long. The runner ends a run whose engine sends no event for 2.5 s
+// and reports that at once, so after this time the report must have been lost.
 constexpr milliseconds kQuietRun{4000};
-// Time between two questions within which a runner still gets orders.
+// Maximum time between two polls of a runner within which it still gets orders.
 constexpr milliseconds kRunnerGap{200};
-// How long a runner gathers news: ends are wanted soon, since the engine has a
-// place free; the rest only feeds the view of how fast engines are and what a
-// lost leader leaves behind.
+// Time for which a runner collects reports before it sends them. The delay is
+// short for outcomes, because the engine has a free slot. Other reports only
+// update the estimates of engine speed and the text that a successor of the
+// leader can continue from.
 constexpr milliseconds kGatherEnds{25};
 constexpr milliseconds kGatherNews{300};
-// A run stays this long before it may be moved, and a task is moved so often at
-// most: a move costs its prompt to be read again.
+// Minimum age of a run that is moved, and maximum number of moves of a task.
+// After a move the new engine has to process the prompt again.
 constexpr milliseconds kLeastStay{400};
 constexpr int kMostMoves = 2;
-// How often the text of running tasks is committed, and the events of a task
-// from which that is worth its bytes: most tasks are over before.
+// Period of committing the text of running tasks, and the number of new events
+// from which a task is included. Most tasks finish before they reach it.
 constexpr milliseconds kProgressPeriod{400};
 constexpr uint64_t kWorthKeeping = 10;
-// A whole text that waits for its score this long is committed without it, so
-// that a lost leader does not cost the generation. A reward call takes some
-// 80 ms when all is well; committing each text before it would double the
-// commits for the few that a lost leader finds in between.
+// A complete text that waits for its score this long is committed without the
+// score, so that it need not be generated again if the leader fails. A reward
+// call usually takes some 80 ms. Committing each text before its reward call
+// would double the number of commits, and few texts would benefit.
 constexpr milliseconds kLongScoring{400};
-// Time over which the streams of a model are averaged: two or three steps, so
-// that it tells the work of a model and not the moment in its step.
+// Time constant for averaging the streams of a model. It covers two or three
+// steps, so that the average reflects the load of the model and not the current
+// phase of a step.
 constexpr std::chrono::duration<double> kDemandMemory{10};
-// Age of the last task after which a group's prompt counts as dropped by its
-// engine: two steps come and go in it, and a group can reappear in the next.
+// Time after the last task of a group until its prompt counts as evicted by the
+// engine. Two steps pass in this time, and a group can occur again in the next
+// step.
 constexpr std::chrono::seconds kPromptLifetime{15};
-// Later than the lifetime of a task by this, a task without a result is given
-// up: the clocks of two leaders may differ by a little.
+// A task without a result fails this long after its lifetime. The slack allows
+// for clock differences between two leaders.
 constexpr std::chrono::seconds kLifetimeSlack{3};
-// Time that an engine is told it has for a task.
+// Time limit for a task that is sent to the engine.
 constexpr std::chrono::seconds kTaskTime{60};
 
 }  // namespace hickorywood::store
