--- a/packages/store/dispatcher.h
+++ b/packages/store/dispatcher.h
@@ -1,10 +1,11 @@
 #ifndef HICKORYWOOD_STORE_DISPATCHER_H_
 #define HICKORYWOOD_STORE_DISPATCHER_H_
 
-// Runs the tasks of all open steps on the engines, while this instance leads.
-// One dispatcher for the whole deployment knows each engine's load from its own
-// count, so that nothing is left to luck or to late reports. A successor goes
-// on from the committed results.
+// Runs the tasks of all open steps on the engines while this instance leads its
+// data group. There is one dispatcher in the deployment, so it counts the load
+// of each engine itself and does not depend on delayed load reports. After a
+// change of the leader, the new dispatcher continues from the committed
+// results.
 
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/io_context.hpp>
@@ -50,62 +51,65 @@
              const fleet::view& view);
 
   void Start();
-  // This instance starts or stops leading. When it stops, all runs are
-  // cancelled: their results could not be committed.
+  // Called when this instance starts or stops leading. When it stops, all runs
+  // are cancelled, because their results could not be committed.
   void OnLeadership(bool is_leader);
-  // The replicated state changed: steps were opened, ended or got results.
+  // Called after a change of the replicated state: steps were opened, ended or
+  // got results.
   void OnApplied();
-  // The endpoints, their weights or the configuration changed.
+  // Called after a change of the endpoints, their weights or the configuration.
   void OnView();
-  // What other stores that run tasks ask and tell. kNotLeader while this
-  // instance does not hold a live lease.
+  // Handles the polls and reports of other stores that run tasks. Returns
+  // kNotLeader while this instance does not hold a live lease.
   boost::asio::awaitable<peering::envelope> HandleRunner(std::string method,
                                                          std::string payload);
-  // Of the models whose tasks run here; empty while this instance does not
-  // lead.
+  // Mean number of streams of each model whose tasks run here. Empty while this
+  // instance does not lead.
   std::vector<fleet::model_demand> Demands() const;
 
  private:
   enum class task_stage {
     kWaiting,
     kRunning,
-    kScoring,  // its text is whole and wants its score
+    kScoring,  // the text is complete and waits for its score
     kDone,
   };
 
-  // Where a task stands, in this leader's memory.
+  // The state of a task in the memory of this leader; only the text is
+  // committed.
   struct task_run {
     task_stage stage = task_stage::kWaiting;
     steps::generated_text text;
     int64_t failures = 0;  // answers that count as a failed attempt
     core::time_point not_before{};
-    int moves = 0;                  // off slow engines
-    std::string left;               // the engine of the last move
-    uint64_t committed_events = 0;  // of the text, kept by the data group
+    int moves = 0;                  // away from slow engines
+    std::string left;               // engine that the last move took it from
+    uint64_t committed_events = 0;  // events of `text` that are committed
     bool is_whole_committed = false;
     core::time_point whole_at{};
-    std::string digest;  // of its request; empty: nobody has asked yet
+    std::string digest;  // of the request; computed when first needed
     bool is_held_back = false;
   };
   struct step_run {
     std::vector<task_run> tasks;
-    std::vector<int64_t> expected;  // length of each; 0: not known
-    std::vector<uint32_t> order;    // in which they start
+    std::vector<int64_t> expected;  // tokens of each task; 0: unknown
+    std::vector<uint32_t> order;    // task indexes in the order of starting
     core::time_point opened_at{};
-    size_t open_tasks = 0;  // that have no result yet
+    size_t open_tasks = 0;  // tasks without a result at the start
     std::map<std::string, size_t> open_by_group;
   };
   struct weights_at_engine {
     uint64_t version = 0;
     bool is_loading = false;
   };
-  // What is known of one engine beside its registration.
+  // State of one engine that is not part of its registration.
   struct engine_record {
     int64_t running = 0;
     steps::event_gap gap;
     core::time_point avoid_until{};
     int failures = 0;  // in a row
-    // Groups whose prompt it has read, with the time of the last task.
+    // Groups whose prompt the engine has processed, with the start of the last
+    // task of each.
     std::map<std::string, core::time_point> groups;
     std::map<std::string, weights_at_engine> weights;  // by model
   };
@@ -114,20 +118,21 @@
     task_key key;
     fleet::endpoint engine;
     std::string model;
-    std::string runner;  // store that runs it; empty: this one
+    std::string runner;  // peer address of its store; empty: this store
     uint64_t events_at_start = 0;
     core::time_point started_at{};
-    bool has_head = false;        // the engine has answered
-    core::time_point heard_at{};  // the last report, or the start
+    bool has_head = false;        // the engine has sent the response head
+    core::time_point heard_at{};  // time of the last report or of the start
   };
-  // The engines that may run the tasks of a step, and what is known of them.
+  // The engines that may run the tasks of a step, with their state.
   struct engine_pool {
     std::vector<steps::engine_load> loads;
-    // Beside `loads`; valid as long as neither map nor view changes.
+    // Same indexes as `loads`. The pointers are valid until `engines_` or the
+    // view changes.
     std::vector<const engine_record*> records;
     std::vector<const fleet::endpoint*> endpoints;
   };
-  // One task with its place and terms, as it waits for an engine.
+  // A waiting task with its step, its request and its route.
   struct candidate {
     task_key key;
     bool is_long = true;
@@ -141,9 +146,9 @@
   boost::asio::awaitable<void> KeepProgress();
   add_progress_command CollectProgress();
   bool IsWorthCommitting(const task_run& task) const;
-  // One pass over the waiting tasks. What it knows of the engines is gathered
-  // once for all of them: gathered for each task, it took most of the leader's
-  // processor time with 48 engines.
+  // One pass over the waiting tasks. The state of the engines is collected once
+  // per pass. Collecting it for each task took most of the leader's CPU time
+  // with 48 engines.
   struct dispatch_pass;
 
   void SyncSteps();
@@ -156,8 +161,8 @@
   int64_t PlacesFor(const candidate& item, const engine_pool& pool) const;
   engine_pool GatherEngines(const std::string& service,
                             const std::string& model, uint64_t minimum_version);
-  // Where a run at an engine of `zone` may start: a store's peer address, or
-  // empty for this one. No value: nowhere now.
+  // Chooses the store for a run at an engine of `zone`: its peer address, or an
+  // empty string for this store. No value if no store can start a run now.
   std::optional<std::string> RunnerFor(const std::string& zone,
                                        const dispatch_pass& pass) const;
   void StartRun(const candidate& item, const fleet::endpoint& engine,
@@ -168,7 +173,7 @@
   peering::envelope TakeReportsRequest(const std::string& payload);
   void TakeReport(run_report report);
   void NoteHead(run& self, uint64_t weights_version);
-  // Takes a run off the lists. What it still does is not heard.
+  // Removes a run from the maps. Its later reports are ignored.
   void Forget(const run& ended);
   void StopRun(const run& ending);
   void LoseRuns(const std::string& runner, const std::vector<uint64_t>& runs);
@@ -177,9 +182,11 @@
   void NoteEngine(const std::string& incarnation, run_end how);
   void NoteBroken(const run& ended);
   void NoteServed(const task_key& key);
-  // Whether engines ended under the task, so that it must wait.
+  // Whether the request of the task is quarantined because engines crashed
+  // while they ran it. Such a task must wait.
   bool IsHeldBack(const task_key& key, task_run& task);
-  // The text of a task is whole: it is scored, or finished.
+  // Called when the text of a task is complete. Requests the score, or finishes
+  // the task if it has no reward request.
   void TakeWholeText(const task_key& key);
   void OnScored(const task_key& key, reward_end how, const std::string& score);
   size_t OpenInGroup(const task_key& key);
@@ -213,18 +220,19 @@
   std::map<std::string, engine_record> engines_;  // by incarnation
   std::map<task_key, std::shared_ptr<run>> runs_;
   std::map<uint64_t, std::shared_ptr<run>> runs_by_id_;
-  // Rises. Begins with the term, so that no two leaders name a run alike.
+  // Id of the latest run. The upper bits are the term, so that the ids of
+  // different leaders differ.
   uint64_t latest_run_ = 0;
   task_runner own_runs_;
-  // Shared with the questions that wait: at the end of the process their frames
-  // go after this object.
+  // Shared with the coroutines of waiting polls. When the process ends, their
+  // frames are destroyed after this object.
   std::shared_ptr<runner_book> runners_ = std::make_shared<runner_book>();
   net::event orders_filled_;
   std::vector<step_results> outbox_;
   net::event outbox_filled_;
   net::event wake_;
   std::map<std::string, steps::run_pace> paces_;  // by model
-  std::map<std::string, double> demands_;         // streams at once, by model
+  std::map<std::string, double> demands_;  // mean number of streams, by model
   core::time_point demands_at_{};
   reward_caller rewards_;
 };
