--- a/packages/store/dispatcher.cc
+++ b/packages/store/dispatcher.cc
@@ -1,4 +1,5 @@
-// The tasks of all open steps: which runs next, and where.
+// Tracks the open steps, and chooses which task starts next and on which
+// engine.
 
 #include "store/dispatcher.h"
 
@@ -23,7 +24,8 @@
 using core::LogEvent;
 using core::time_point;
 
-// Runs of one term: some thousand a second for weeks.
+// Bits of a run id that count the runs of one term. They suffice for some
+// thousand runs per second over weeks.
 constexpr int kRunBits = 40;
 
 std::string Text(uint64_t number) { return std::to_string(number); }
@@ -98,7 +100,7 @@
     if (known.count(item.incarnation) == 0) continue;
     engine_record& record = engines_[item.incarnation];
     weights_at_engine& weights = record.weights[item.model];
-    // A load discards what the engine has read.
+    // Loading weights discards the prompts that the engine has processed.
     if (item.version > weights.version) ForgetPrompts(record, item.model);
     weights.version = std::max(weights.version, item.version);
     weights.is_loading = item.is_loading;
@@ -107,10 +109,10 @@
   if (is_leading_) SchedulePump();
 }
 
-// An engine that started again under its name runs nothing of before. What is
-// open to it may hang for as long as a silent connection does; its tasks go on
-// elsewhere at once. One that is merely gone from the list may still be
-// finishing its runs.
+// An engine that was restarted under the same name has lost its earlier runs.
+// Their connections may hang until they time out, so these runs are ended at
+// once and their tasks continue on other engines. An engine that is no longer
+// in the list, but has no newer incarnation, may still be finishing its runs.
 void dispatcher::EndRunsOfOlderStarts() {
   std::map<std::string, std::string> newest;  // incarnation by name
   for (const fleet::endpoint& item : view_.endpoints) {
@@ -149,7 +151,7 @@
   }
 }
 
-// --- Steps.
+// --- Tracking of open steps.
 
 void dispatcher::SyncSteps() {
   for (const auto& [id, where] : state_.Steps()) {
@@ -226,8 +228,8 @@
   return &found->second.tasks.at(key.task);
 }
 
-// What runs a task; nullptr: it was dropped, and nothing runs the task any
-// more.
+// Returns the engine request of a task, or nullptr if the request was
+// discarded. Such a task is not run again.
 const steps::task_request* dispatcher::RequestOf(const task_key& key) const {
   const steps::step* step = state_.Find(key.step);
   if (step == nullptr) return nullptr;
@@ -235,8 +237,8 @@
   return request ? &*request : nullptr;
 }
 
-// The terms of a task under the configuration in force now; nullptr: it has no
-// route any more.
+// Returns the route of a task in the current configuration, or nullptr if there
+// is none or the request was discarded.
 const fleet::route* dispatcher::RouteOf(const task_key& key) const {
   const steps::task_request* const input = RequestOf(key);
   if (input == nullptr) return nullptr;
@@ -244,16 +246,16 @@
                           input->path);
 }
 
-// --- Starting runs.
+// --- Choice of the next tasks and their engines.
 
 struct dispatcher::dispatch_pass {
-  size_t starting = 0;  // on this store
-  // By service, model and oldest version.
+  size_t starting = 0;  // runs that this store is starting
+  // By service, model and minimum weights version.
   std::map<std::tuple<std::string, std::string, uint64_t>, engine_pool> pools;
 };
 
-// Once for all that the loop has ready now: the end of a run, a commit and news
-// of an engine often come together.
+// Posts one pass for all handlers that the loop has ready now, because the end
+// of a run, a commit and a change of an engine often occur together.
 void dispatcher::SchedulePump() {
   if (is_pump_scheduled_) return;
   is_pump_scheduled_ = true;
@@ -273,7 +275,7 @@
   rewards_.Pump();
 }
 
-// Runs of this store whose engine has not answered yet.
+// Number of runs on this store whose engine has not sent a response head yet.
 size_t dispatcher::Starting() const {
   return static_cast<size_t>(
       std::count_if(runs_.begin(), runs_.end(), [](const auto& item) {
@@ -291,7 +293,8 @@
     task_run& task = where.tasks[i];
     if (task.stage != task_stage::kWaiting || task.not_before > now) continue;
     if (IsHeldBack({id, i}, task)) continue;
-    // The rest starts as engines answer.
+    // The remaining tasks start when engines respond to the runs that are
+    // starting.
     if (!RunnerFor("", pass)) return;
     candidate item;
     item.key = {id, i};
@@ -305,7 +308,8 @@
   }
 }
 
-// False when no engine has room, so that the tasks behind need not be tried.
+// Returns false if no engine has a free slot, or if no store can start a run.
+// The following tasks need not be tried then.
 bool dispatcher::TryStart(const candidate& item, dispatch_pass& pass) {
   static thread_local std::mt19937_64 random{std::random_device()()};
   const double draw = std::uniform_real_distribution<double>(0, 1)(random);
@@ -329,7 +333,7 @@
   const int64_t places = PlacesFor(item, engines);
   const std::string& left = steps_.at(item.key.step).tasks[item.key.task].left;
   auto choice = steps::ChooseEngine(engines.loads, places, left);
-  // A slow engine is better than none.
+  // No other engine has a free slot, so allow the engine that the task left.
   if (!choice) choice = steps::ChooseEngine(engines.loads, places);
   if (!choice) return false;
   const fleet::endpoint& engine = *engines.endpoints[*choice];
@@ -348,12 +352,13 @@
     auto other = ChooseRunner(*runners_, zone, clock_.Now());
     if (other) return other;
   }
-  // Without another store with room the leader carries on by itself.
+  // No other store can take the run, so the leader runs it itself.
   if (pass.starting < kMostStarting) return "";
   return std::nullopt;
 }
 
-// Streams on an engine up to which a task may be started there.
+// Returns the number of streams on an engine below which the task may be
+// started there.
 int64_t dispatcher::PlacesFor(const candidate& item,
                               const engine_pool& pool) const {
   int64_t slots = 0;
@@ -423,8 +428,8 @@
   });
 }
 
-// A prompt that no task has asked for in a while has made room for others, and
-// a day's groups would pile up.
+// Removes groups without a recent task. The engine has probably evicted their
+// prompts, and the list would grow with every step.
 void dispatcher::ForgetOldGroups() {
   const time_point now = clock_.Now();
   for (auto& [incarnation, record] : engines_) {
