--- a/packages/store/dispatcher_runs.cc
+++ b/packages/store/dispatcher_runs.cc
@@ -1,4 +1,5 @@
-// One run of a task at an engine, from its request to its end.
+// Starts the runs of tasks, and handles the polls and reports of the stores
+// that run them.
 
 #include <algorithm>
 #include <utility>
@@ -82,7 +83,7 @@
   return order;
 }
 
-// --- Other stores that run tasks.
+// --- Requests of other stores that run tasks.
 
 awaitable<peering::envelope> dispatcher::HandleRunner(std::string method,
                                                       std::string payload) {
@@ -95,7 +96,8 @@
 
 namespace {
 
-// Tells the book when a question ends without an answer: its asker is gone.
+// Records in the registry that a poll ended without an answer, because the
+// runner closed the connection.
 class open_question {
  public:
   open_question(std::shared_ptr<runner_book> book, const orders_request& input,
@@ -126,7 +128,7 @@
     std::string payload) {
   const auto input = core::DecodeBinary<orders_request>(payload);
   if (!input) co_return group::Malformed();
-  // A question of before this store led.
+  // This store sent the poll before it became the leader itself.
   if (input->runner == group_.OwnAddress()) co_return peering::envelope{};
   LoseRuns(input->runner, TakeQuestion(*runners_, *input, clock_.Now()));
   SchedulePump();
@@ -141,8 +143,8 @@
     co_await orders_filled_.WaitUntil(until);
   }
   asked.Close();
-  // Leadership, or the lease, may have ended while the answer was held back. A
-  // book that was begun anew knows the runner once it asks again.
+  // Leadership or the lease may have ended while the poll waited. If the
+  // registry was cleared meanwhile, the next poll adds the runner to it again.
   if (!is_known() || !group_.IsServing()) co_return group::NotLeader(group_);
   const orders_answer answer =
       MakeAnswer(*runners_, input->runner, group_.Term(), clock_.Now());
@@ -155,7 +157,7 @@
   if (!IsKnown(*runners_, input->runner, input->session)) {
     return {peering::call_outcome::kNotFound, "", "no such session", ""};
   }
-  // Reports that came before are acknowledged again, and count once.
+  // Repeated reports are acknowledged again but applied only once.
   if (TakeReports(*runners_, *input, group_.Term(), clock_.Now())) {
     for (run_report& report : input->reports) TakeReport(std::move(report));
   }
@@ -170,7 +172,7 @@
   for (const uint64_t id : runs) {
     const auto found = runs_by_id_.find(id);
     if (found == runs_by_id_.end()) continue;
-    // The engine is not to blame.
+    // The run was lost with its runner, so this is no failure of the engine.
     EndRun(std::shared_ptr<run>(found->second), run_end::kMoved);
   }
 }
@@ -192,7 +194,7 @@
   }
 }
 
-// --- What comes of a run.
+// --- Reports and outcomes of runs.
 
 void dispatcher::TakeReport(run_report report) {
   const auto found = runs_by_id_.find(report.run);
@@ -217,7 +219,7 @@
   self.has_head = true;
   SchedulePump();
   if (weights_version == 0) return;
-  // Newer than what the view says, where the leader has not heard yet.
+  // The response may report newer weights than the view of this store.
   engine_record& record = engines_[self.engine.incarnation];
   uint64_t& known = record.weights[self.model].version;
   if (weights_version > known) ForgetPrompts(record, self.model);
@@ -280,14 +282,15 @@
       task->not_before = clock_.Now() + kRetryPause;
       break;
     case run_end::kUnusable:
-      // Text of weights that the step does not allow can't be gone on with.
+      // The step does not allow the weights that generated the text, so the
+      // text can't be continued.
       task->text = steps::generated_text{};
       task->committed_events = 0;
       task->not_before = clock_.Now() + kRetryPause;
       break;
     case run_end::kBroken:
-      // Also a run that brought its text forward: each of the next ones may do
-      // so too before it takes its engine down.
+      // Recorded also if the run added text, because each later run of the
+      // request may add text too before it crashes its engine.
       NoteBroken(*ended);
       break;
     case run_end::kMoved:
@@ -296,7 +299,7 @@
   SchedulePump();
 }
 
-// Empty where its request was dropped.
+// Returns no value if the request of the task was discarded.
 std::optional<quarantine::request_identity> dispatcher::IdentityOf(
     const task_key& key) const {
   const steps::task_request* const input = RequestOf(key);
