--- a/packages/store/dispatcher_results.cc
+++ b/packages/store/dispatcher_results.cc
@@ -1,5 +1,5 @@
-// What comes of the runs: results and progress that are committed, runs that
-// are ended, moved or given up.
+// Commits results and progress of tasks, and ends runs that are expired, moved
+// or cancelled.
 
 #include <algorithm>
 #include <utility>
@@ -22,10 +22,10 @@
 
 }  // namespace
 
-// --- Results.
+// --- Scores and results of tasks.
 
-// A reward request is sent only from here on, after the last event of the text
-// that will be listed: a score of anything less would be another text's.
+// The reward request is sent only now, after the last event of the text. A
+// score of an incomplete text would not belong to the text in the result.
 void dispatcher::TakeWholeText(const task_key& key) {
   task_run* const task = FindTask(key);
   const steps::task_request* const input = RequestOf(key);
@@ -81,8 +81,8 @@
   outbox_filled_.Notify();
 }
 
-// Commits all that has come in while the commit before was under way, so that
-// the rate of syncs does not rise with the rate of results.
+// Commits all results that were queued during the previous commit in one batch,
+// so that the rate of disk syncs does not grow with the rate of results.
 awaitable<void> dispatcher::KeepCommitting() {
   for (;;) {
     if (outbox_.empty()) {
@@ -98,7 +98,8 @@
     LogEvent(event_id::kResultsNotCommitted,
              {{"results", Text(batch.steps.size())},
               {"proposed", result.was_proposed ? "true" : "false"}});
-    // The lease may be late by a moment while this replica still leads.
+    // The lease may be renewed late for a moment while this replica still
+    // leads.
     if (is_leading_ && !result.was_proposed) {
       outbox_.insert(outbox_.begin(), batch.steps.begin(), batch.steps.end());
       co_await net::Sleep(kRetryPause);
@@ -106,9 +107,9 @@
   }
 }
 
-// A running task's text, once it has gained enough; a whole text, once it has
-// waited for its score. Most scores come sooner, and their texts are committed
-// with them: one commit a task.
+// The text of a running task is committed when it has enough new events. A
+// complete text is committed alone only if its score takes long. Most scores
+// arrive earlier, and the text is committed with its score in one command.
 bool dispatcher::IsWorthCommitting(const task_run& task) const {
   if (task.stage == task_stage::kRunning) {
     return task.text.events >= task.committed_events + kWorthKeeping;
@@ -117,8 +118,8 @@
          clock_.Now() - task.whole_at >= kLongScoring;
 }
 
-// What the tasks have gained since it was last committed, where that is worth a
-// commit.
+// Collects the text that tasks have gained since their last commit, for the
+// tasks that need a commit.
 add_progress_command dispatcher::CollectProgress() {
   add_progress_command command;
   for (auto& [id, where] : steps_) {
@@ -146,9 +147,10 @@
   return command;
 }
 
-// Commits the text of long tasks now and then, so that a lost leader costs its
-// successor a second of it and not all. A commit that fails is no loss: without
-// leadership nothing is committed, and the successor knows what came before.
+// Commits the text of long tasks periodically, so that a new leader has to
+// generate about a second of it again and not all. A failed commit needs no
+// retry: it fails when leadership is lost, and the new leader has the text of
+// the earlier commits.
 awaitable<void> dispatcher::KeepProgress() {
   for (;;) {
     co_await net::Sleep(kProgressPeriod);
@@ -160,9 +162,9 @@
   }
 }
 
-// --- Upkeep.
+// --- Periodic checks and cancellation of runs.
 
-// Smooths the streams of each model over some steps.
+// Updates the moving average of the number of streams of each model.
 void dispatcher::NoteDemands() {
   const time_point now = clock_.Now();
   const std::chrono::duration<double> passed = now - demands_at_;
@@ -207,8 +209,8 @@
   }
 }
 
-// Takes runs off engines that are clearly slower than others with room. Without
-// it one slow engine holds up every group that has a task on it.
+// Moves runs away from engines that are clearly slower than others with free
+// slots. Otherwise one slow engine delays every group that has a task on it.
 void dispatcher::MoveStragglers() {
   std::vector<std::shared_ptr<run>> moving;
   std::map<std::string, engine_pool> by_step;
