--- a/packages/store/runner_book.cc
+++ b/packages/store/runner_book.cc
@@ -17,7 +17,8 @@
   return found == book.runners.end() ? nullptr : &found->second;
 }
 
-// Between two questions of a runner that is well lies a moment only.
+// Whether the runner polls now or did so a moment ago. A working runner sends
+// its next poll directly after an answer.
 bool IsAtHand(const known_runner& one, core::time_point now) {
   return one.is_asking || now - one.heard_at < kRunnerGap;
 }
@@ -146,7 +147,7 @@
 void CancelRun(runner_book& book, const std::string& runner, uint64_t run) {
   known_runner* const one = Find(book, runner);
   if (one == nullptr) return;
-  // What was not handed over need not be taken back.
+  // A run whose order was not sent need not be cancelled at the runner.
   const size_t held = std::erase_if(
       one->orders, [run](const run_order& order) { return order.run == run; });
   if (held == 0) one->cancelled.push_back(run);
--- a/packages/store/runner_book.h
+++ b/packages/store/runner_book.h
@@ -1,14 +1,14 @@
 #ifndef HICKORYWOOD_STORE_RUNNER_BOOK_H_
 #define HICKORYWOOD_STORE_RUNNER_BOOK_H_
 
-// The other stores that run tasks for the leader, and which runs each of them
-// has. A runner asks for orders again and again; its answers are numbered, so
-// that an answer that got lost is seen at the next question. Plain data and
-// functions.
+// The leader's registry of the other stores that run tasks, and of the runs
+// that each of them has. A runner polls the leader for orders. The answers are
+// numbered, so that the next poll shows whether an answer was lost. This file
+// contains plain data and functions without I/O.
 //
-// Why the runner asks and isn't called: an order that a cut link delivers
-// seconds late would start a task that has long been given to another one. An
-// answer that comes after its asker's own deadline is not read.
+// The runner polls because orders that are pushed to it could be delayed by a
+// broken link for seconds. They would then start tasks that other runners have
+// already. A runner ignores an answer that arrives after its own deadline.
 
 #include <cstddef>
 #include <cstdint>
@@ -24,32 +24,32 @@
 
 namespace hickorywood::store {
 
-// A runner asks for orders.
+// A poll of a runner for orders.
 struct orders_request {
   std::string runner;  // peer address
   std::string zone;
-  std::string session;    // new after all its runs were cancelled
-  uint64_t received = 0;  // number of the last answer that it took
-  int64_t wait_ms = 0;    // how long the answer may be held back
+  std::string session;    // changes when the runner cancels all its runs
+  uint64_t received = 0;  // number of the last answer that the runner received
+  int64_t wait_ms = 0;    // maximum delay of the answer
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(orders_request, runner, zone,
                                                 session, received, wait_ms)
 
 struct orders_answer {
-  uint64_t term = 0;  // of the leader
-  uint64_t number = 0;
+  uint64_t term = 0;    // of the leader
+  uint64_t number = 0;  // increases by one within a session
   std::vector<run_order> orders;
-  std::vector<uint64_t> cancelled;  // runs
+  std::vector<uint64_t> cancelled;  // ids of runs
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(orders_answer, term, number,
                                                 orders, cancelled)
 
-// A runner tells what has come of its runs.
+// Progress and outcomes of the runs of a runner.
 struct reports_request {
   std::string runner;
   std::string session;
   uint64_t term = 0;    // of the leader that ordered the runs
-  uint64_t number = 0;  // rises by one; the same again: the answer was lost
+  uint64_t number = 0;  // increases by one; repeated if the answer was lost
   std::vector<run_report> reports;
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(reports_request, runner,
@@ -59,14 +59,14 @@
   std::string zone;
   std::string session;
   core::time_point heard_at{};
-  bool is_asking = false;  // its question waits for an answer
-  uint64_t answers = 0;
-  uint64_t reports = 0;  // number of the last ones that were taken
+  bool is_asking = false;  // a poll waits for its answer
+  uint64_t answers = 0;    // number of the last answer
+  uint64_t reports = 0;    // number of the last accepted reports
   std::set<uint64_t> runs;
-  // Not handed over yet.
+  // To be sent in the next answer.
   std::vector<run_order> orders;
   std::vector<uint64_t> cancelled;
-  // Handed over in the last answer, which may get lost.
+  // Runs whose orders were sent in the last answer, which may be lost.
   std::vector<uint64_t> unconfirmed;
 };
 
@@ -74,48 +74,50 @@
   std::map<std::string, known_runner> runners;  // by peer address
 };
 
-// Takes a question. Returns the runs that are lost by it: those of an earlier
-// session, and those whose orders did not arrive.
+// Handles a poll. Returns the runs that it shows to be lost: those of an
+// earlier session, and those whose orders did not arrive.
 std::vector<uint64_t> TakeQuestion(runner_book& book,
                                    const orders_request& input,
                                    core::time_point now);
-// What the runner is told now.
+// Returns the answer to the runner's poll and clears the queued orders.
 orders_answer MakeAnswer(runner_book& book, const std::string& runner,
                          uint64_t term, core::time_point now);
 bool HasOrders(const runner_book& book, const std::string& runner);
-// Whether the session of a runner is known: it is not after the runner was
-// lost, or leadership was.
+// Whether the registry contains the session of a runner. It does not after the
+// runner was removed or leadership was lost.
 bool IsKnown(const runner_book& book, const std::string& runner,
              const std::string& session);
-// The runner closed its question before it was answered: it is gone, or asks
-// again at once.
+// Called when a runner closed its poll before the answer. Either the runner has
+// terminated, or it polls again at once.
 void NoteAbandoned(runner_book& book, const std::string& runner,
                    const std::string& session, core::time_point now);
 
-// Whether reports are the next ones of a session that is known, on runs of the
-// leader of `term`. False: they are not to be taken. A set that was under way
-// when the leader was lost reaches its successor under the same session, and
-// its numbers mean nothing there.
+// Returns whether reports are the next ones of a registered session, about runs
+// that the leader of `term` ordered. Other reports must be ignored. Reports
+// that were sent to a failed leader can reach its successor under the same
+// session, where their number and run ids are not valid.
 bool TakeReports(runner_book& book, const reports_request& input, uint64_t term,
                  core::time_point now);
 
-// Forgets a runner, and returns the runs that are lost with it.
+// Removes a runner and returns its runs.
 std::vector<uint64_t> LoseRunner(runner_book& book, const std::string& runner);
-// ... all that have not been heard for too long, with the runs of each.
+// Removes all runners that have not polled or reported within kRunnerSilence,
+// and returns the runs of each.
 std::map<std::string, std::vector<uint64_t>> LoseSilent(runner_book& book,
                                                         core::time_point now);
 
-// The runner for a task at an engine of `zone`; empty: there is none with room.
-// Few runners get many runs each: a call then carries the news of many. One in
-// the engine's own zone saves the way of each event between zones.
+// Chooses the runner for a task at an engine of `zone`. No value if none has
+// room. Prefers runners in the engine's zone, which avoids traffic between
+// zones for each event. Among these it prefers the one with the most runs,
+// because a call can then carry the reports of many runs.
 std::optional<std::string> ChooseRunner(const runner_book& book,
                                         const std::string& zone,
                                         core::time_point now);
 
 void AddOrder(runner_book& book, const std::string& runner, run_order order);
-// The leader gives a run up.
+// Cancels a run at its runner.
 void CancelRun(runner_book& book, const std::string& runner, uint64_t run);
-// A run is over.
+// Removes a run that has ended.
 void NoteOver(runner_book& book, const std::string& runner, uint64_t run);
 
 }  // namespace hickorywood::store
