--- a/packages/store/task_run.h
+++ b/packages/store/task_run.h
@@ -1,7 +1,8 @@
 #ifndef HICKORYWOOD_STORE_TASK_RUN_H_
 #define HICKORYWOOD_STORE_TASK_RUN_H_
 
-// One run of a task at an engine, as the leader orders it and hears of it.
+// The messages between the leader and a runner about one run of a task at an
+// engine: the order to start it, and the reports on its progress.
 
 #include <cstdint>
 #include <string>
@@ -16,10 +17,10 @@
   kComplete,
   kFailed,      // the engine answered that the attempt failed
   kImpossible,  // the task can never be done
-  kNotRun,      // the engine did not take it
-  kBroken,      // cut, silent or spoiled midway
-  kUnusable,    // made under weights that the step does not allow
-  kMoved,       // given up here to go on elsewhere
+  kNotRun,      // the engine did not accept it
+  kBroken,      // connection broken, timeout or malformed response
+  kUnusable,    // generated with weights that the step does not allow
+  kMoved,       // cancelled, to continue on another engine or runner
 };
 NLOHMANN_JSON_SERIALIZE_ENUM(run_end, {{run_end::kBroken, 4},
                                        {run_end::kComplete, 0},
@@ -29,17 +30,18 @@
                                        {run_end::kUnusable, 5},
                                        {run_end::kMoved, 6}})
 
-// The word of an end, for logs.
+// Returns the name of an outcome for logs.
 const char* WordOf(run_end how);
 
 struct run_order {
-  uint64_t run = 0;         // names the run among those of its leader
+  uint64_t run = 0;         // id, unique among all leaders of the group
   std::string incarnation;  // of the engine
   std::string address;      // of the engine
   std::string target;
   net::header_list headers;
   std::string body;
-  // The text before this run, and what may be added to it.
+  // Number of events and weights versions of the text before this run, and the
+  // weights that further events may come from.
   uint64_t events = 0;
   std::vector<uint64_t> versions;
   uint64_t minimum_version = 0;
@@ -51,18 +53,18 @@
                                                 minimum_version,
                                                 is_single_version)
 
-// What has come of a run since the report before.
+// The progress of a run since its previous report.
 struct run_report {
   uint64_t run = 0;
-  bool has_head = false;          // the engine has answered
-  uint64_t weights_version = 0;   // that its answer names; 0: none
-  std::vector<std::string> data;  // of each further event
-  // Time in which events came after another one, and how many did.
+  bool has_head = false;          // the engine has sent the response head
+  uint64_t weights_version = 0;   // from the response head; 0: none
+  std::vector<std::string> data;  // of each new event
+  // Sum of the times between events, and the number of events that ended them.
   int64_t span_ms = 0;
   uint64_t spanned = 0;
-  std::vector<uint64_t> versions;  // of the whole text
+  std::vector<uint64_t> versions;  // of the text up to now
   bool is_over = false;
-  run_end how = run_end::kBroken;  // of a run that is over
+  run_end how = run_end::kBroken;  // set if `is_over`
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(run_report, run, has_head,
                                                 weights_version, data, span_ms,
