--- a/packages/store/task_runner.cc
+++ b/packages/store/task_runner.cc
@@ -123,7 +123,8 @@
   }
   if (self.text.data.empty()) return spoiled;
   const time_point now = clock_.Now();
-  // The first event came after the request, and tells of its prompt.
+  // The time before the first event is excluded, because it includes the
+  // processing of the prompt.
   if (before > self.order.events) {
     const auto span =
         std::chrono::duration_cast<milliseconds>(now - self.heard_at);
--- a/packages/store/task_runner.h
+++ b/packages/store/task_runner.h
@@ -2,8 +2,8 @@
 #define HICKORYWOOD_STORE_TASK_RUNNER_H_
 
 // Runs tasks at engines, from the request to the end of the stream, and checks
-// each event. It decides nothing: which task runs where is the leader's order,
-// and what a text is good for is judged from the reports.
+// each event. The leader decides which task runs on which engine, and how its
+// text is used, from the reports.
 
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/io_context.hpp>
@@ -26,29 +26,30 @@
   task_runner(boost::asio::io_context& loop, const core::runtime_clock& clock,
               net::connection_pool& pool, const fleet::protocol& wire);
 
-  // Called for each piece of news of a run; the last one is over.
+  // Called for each report on a run. The last one has `is_over` set.
   std::function<void(run_report)> on_report;
 
   void Start(run_order order);
   // Ends a run without a report.
   void Cancel(uint64_t run);
   void CancelAll();
-  // Ends runs whose engine has been silent for too long. One pass over all in
-  // place of a timer for each read: a stream has a read for every 30 ms.
+  // Ends runs whose engine has sent no event within the timeout. One pass over
+  // all runs replaces a timer for each read, as a stream has a read every 30
+  // ms.
   void EndStalled();
 
   size_t Running() const { return runs_.size(); }
-  // Of these, the engine has not answered yet.
+  // Number of runs whose engine has not sent a response head yet.
   size_t Starting() const;
 
  private:
   struct active_run {
     run_order order;
     steps::text_rules rules;
-    steps::generated_text text;  // without what was reported
+    steps::generated_text text;  // `data` has only events not yet reported
     bool has_head = false;
     bool is_stalled = false;
-    core::time_point heard_at{};  // the last event, or the start
+    core::time_point heard_at{};  // time of the last event or of the start
     core::milliseconds patience{0};
     net::cancel_signal cancel = net::MakeCancelSignal();
   };
@@ -57,7 +58,8 @@
   boost::asio::awaitable<run_end> ReadText(std::shared_ptr<active_run> self,
                                            net::connection& from,
                                            std::optional<uint64_t> version);
-  // Takes the whole events off `buffer`. Empty when all of them fit.
+  // Removes the complete events from `buffer` and reports them. Returns an
+  // outcome if an event is malformed or not allowed, else no value.
   std::optional<run_end> TakeEvents(active_run& self, std::string& buffer,
                                     std::optional<uint64_t>& version);
   void EndRun(const std::shared_ptr<active_run>& ended, run_end how);
