--- a/packages/store/remote_runner.cc
+++ b/packages/store/remote_runner.cc
@@ -18,10 +18,11 @@
 using peering::call_outcome;
 using peering::envelope;
 
-// Pause after a question that nobody answered.
+// Pause after a poll without a valid answer.
 constexpr milliseconds kPauseWithoutLeader{100};
-// Tries of one set of reports. What they were about is lost after that: the
-// leader has been silent for longer than runs outlast it.
+// Maximum number of attempts to send a set of reports. After that the leader
+// has been unreachable for longer than kLeaderSilence, and the runs are
+// cancelled.
 constexpr int kMostTries = 3;
 
 std::string NewSession() {
@@ -103,7 +104,7 @@
 void remote_runner::TakeAnswer(orders_answer answer) {
   heard_at_ = clock_.Now();
   if (answer.term != term_) {
-    // What runs here was ordered by a leader before this one.
+    // The current runs were ordered by an earlier leader.
     runs_.CancelAll();
     waiting_.clear();
     news_.clear();
@@ -123,7 +124,8 @@
 }
 
 void remote_runner::StartWaiting() {
-  // What waits here may have been given to others while this process stood.
+  // The tasks of waiting runs may have been given to other runners while this
+  // process was suspended.
   if (clock_.Now() - heard_at_ > kLeaderSilence) return;
   while (!waiting_.empty() && runs_.Starting() < kMostStarting) {
     run_order next = std::move(waiting_.front());
@@ -151,7 +153,8 @@
 
 awaitable<void> remote_runner::KeepReporting() {
   while (!is_stopped_) {
-    // Without runs nothing comes before an end says so.
+    // Without runs there is nothing to report, and the next outcome ends the
+    // wait.
     const bool is_idle = !HasRuns() && news_.empty();
     if (!has_ends_) {
       co_await has_news_.WaitUntil(is_idle ? time_point::max()
@@ -174,7 +177,8 @@
           co_await leader_.Ask(peering::kReportRunsMethod, payload,
                                clock_.Now() + kAnswerSlack, kAnswerSlack);
       if (told.outcome == call_outcome::kDone) break;
-      // The leader has given these runs up.
+      // The leader has removed this session and given its tasks to others, or
+      // it is assumed to have done so.
       const bool is_over =
           told.outcome == call_outcome::kNotFound || i + 1 == kMostTries;
       if (is_over && input.session == session_) StartAnew();
@@ -182,8 +186,9 @@
   }
 }
 
-// Ends at once, and everything else now and then: told with each end, the text
-// of all runs would come in pieces of an event.
+// Returns the reports with outcomes at once, and those of unfinished runs once
+// per period. If each outcome also sent the reports of unfinished runs, their
+// text would be sent in pieces of single events.
 std::vector<run_report> remote_runner::TakeNews() {
   const bool is_all_due = clock_.Now() >= news_due_;
   if (is_all_due) news_due_ = clock_.Now() + kGatherNews;
@@ -197,7 +202,8 @@
   return taken;
 }
 
-// Ends what nobody may be waiting for any more.
+// Cancels all runs when the leader is unreachable, because it may have given
+// their tasks to other runners.
 awaitable<void> remote_runner::KeepWatching() {
   while (!is_stopped_) {
     co_await net::Sleep(kWatchPeriod);
--- a/packages/store/remote_runner.h
+++ b/packages/store/remote_runner.h
@@ -2,7 +2,7 @@
 #define HICKORYWOOD_STORE_REMOTE_RUNNER_H_
 
 // Runs tasks on this store for the leader of the data group, which is another
-// one: asks it for orders, and tells it what comes of them.
+// store. Polls the leader for orders and reports the progress of the runs.
 
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/io_context.hpp>
@@ -28,14 +28,15 @@
 
 class remote_runner {
  public:
-  // `is_leader`: whether this store leads, and needs no orders.
+  // `is_leader` returns whether this store is the leader. It does not poll
+  // then.
   remote_runner(boost::asio::io_context& loop, const core::runtime_clock& clock,
                 net::connection_pool& pool, const fleet::protocol& wire,
                 peering::leader_caller& leader, remote_runner_options options,
                 std::function<bool()> is_leader);
 
   void Start();
-  // The process stops: nothing more runs here.
+  // Called when the process stops. Cancels all runs.
   void Stop();
 
  private:
@@ -47,7 +48,7 @@
   bool HasRuns() const { return runs_.Running() > 0 || !waiting_.empty(); }
   void TakeReport(run_report report);
   std::vector<run_report> TakeNews();
-  // Ends all runs and begins a new session.
+  // Cancels all runs and starts a new session.
   void StartAnew();
 
   boost::asio::io_context& loop_;
@@ -56,15 +57,15 @@
   const remote_runner_options options_;
   const std::function<bool()> is_leader_;
   task_runner runs_;
-  std::deque<run_order> waiting_;  // to start, as engines answer
+  std::deque<run_order> waiting_;  // started when engines respond to others
   std::string session_;
-  uint64_t term_ = 0;      // of the leader whose runs these are
-  uint64_t received_ = 0;  // number of its last answer
-  uint64_t reported_ = 0;
-  core::time_point heard_at_{};          // the leader
-  std::map<uint64_t, run_report> news_;  // by run
-  bool has_ends_ = false;        // `news_` has some that the leader waits for
-  core::time_point news_due_{};  // of runs that are not over
+  uint64_t term_ = 0;                    // of the leader that ordered the runs
+  uint64_t received_ = 0;                // number of the leader's last answer
+  uint64_t reported_ = 0;                // number of the last reports
+  core::time_point heard_at_{};          // time of the leader's last answer
+  std::map<uint64_t, run_report> news_;  // unsent reports by run
+  bool has_ends_ = false;                // `news_` contains outcomes
+  core::time_point news_due_{};          // next time to report unfinished runs
   net::event has_news_;
   bool is_stopped_ = false;
 };
