--- a/packages/store/reward_caller.cc
+++ b/packages/store/reward_caller.cc
@@ -14,10 +14,11 @@
 using core::LogEvent;
 using core::time_point;
 
-// Where a route says nothing of the time that its requests may take.
+// Timeout of requests of a route that has none configured.
 constexpr milliseconds kDefaultTime{2000};
 
-// A quarantine may be lifted before its time.
+// Maximum pause before a quarantined request is tried again. A quarantine may
+// be lifted before its scheduled end.
 constexpr milliseconds kQuarantinePoll{1000};
 
 milliseconds PauseAfter(const routing::send_outcome& outcome) {
@@ -48,8 +49,9 @@
 
 void reward_caller::Pump() {
   const time_point now = clock_.Now();
-  // Places left at each route. Counted once for all jobs: counted for each, it
-  // went over all endpoints and took an eighth of a busy leader's processor.
+  // Free slots of each route, computed once per pass. Computing them for each
+  // job iterates over all endpoints and took an eighth of a busy leader's CPU
+  // time.
   std::map<const fleet::route*, int64_t> room;
   const auto room_at = [this, &room](const fleet::route* where) -> int64_t& {
     const auto [found, is_new] = room.try_emplace(where, 0);
@@ -78,7 +80,8 @@
   }
 }
 
-// The route under the configuration in force now; nullptr: there is none.
+// Returns the route of a job in the current configuration, or nullptr if there
+// is none.
 const fleet::route* reward_caller::RouteOf(const reward_job& job) const {
   return fleet::FindRoute(view_.config, job.request.host, job.request.path);
 }
@@ -104,7 +107,7 @@
 
 void reward_caller::Start(const std::shared_ptr<job_state>& job,
                           fleet::route where) {
-  // A reward request may be repeated whatever else its route carries.
+  // A reward request may always be repeated, whatever the kind of its route.
   where.kind = fleet::route_kind::kIdempotent;
   const time_point started = clock_.Now();
   const milliseconds time =
--- a/packages/store/reward_caller.h
+++ b/packages/store/reward_caller.h
@@ -1,10 +1,10 @@
 #ifndef HICKORYWOOD_STORE_REWARD_CALLER_H_
 #define HICKORYWOOD_STORE_REWARD_CALLER_H_
 
-// Has whole texts scored: sends the reward requests of tasks, those first that
-// complete a group, and never so many at once that other callers of the same
-// service wait. Knows nothing that must survive: a successor of the leader asks
-// again.
+// Sends the reward requests of tasks with complete texts. Requests that
+// complete a group are sent first. The number of concurrent requests is
+// limited, so that other callers of the same service need not wait. The state
+// is not replicated: a new leader sends the requests again.
 
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/io_context.hpp>
@@ -26,7 +26,7 @@
 
 namespace hickorywood::store {
 
-// A whole text that wants its score.
+// The reward request of a complete text.
 struct reward_job {
   task_key key;
   steps::reward_request request;
@@ -35,7 +35,7 @@
 
 enum class reward_end {
   kScored,
-  kGivenUp,  // endpoints answered as often as allowed that they failed
+  kGivenUp,  // the maximum number of failed answers was reached
 };
 
 class reward_caller {
@@ -44,20 +44,22 @@
                 routing::request_sender& sender, const fleet::protocol& wire,
                 const fleet::view& view);
 
-  // What came of a job, once. The score is empty unless it was scored.
+  // Called once with the outcome of a job. `score` is empty unless the outcome
+  // is kScored.
   std::function<void(const task_key&, reward_end, const std::string& score)>
       on_end;
-  // Tasks without a result in the group of a task.
+  // Returns the number of tasks without a result in the group of a task.
   std::function<size_t(const task_key&)> open_in_group;
 
   void Add(reward_job job);
-  // Sends what may be sent now.
+  // Sends the waiting requests that the limits allow now.
   void Pump();
-  // The task, or the step, is over: nothing more of it reaches an endpoint.
+  // Remove the jobs of a task, of a step, or all jobs, and cancel their
+  // requests.
   void Drop(const task_key& key);
   void DropStep(const std::string& step);
   void DropAll();
-  // Takes back what is under way, to be sent again at the next Pump().
+  // Cancels the requests that are being sent. The next Pump() sends them again.
   void Suspend();
 
   bool IsIdle() const { return jobs_.empty(); }
@@ -67,7 +69,7 @@
     reward_job job;
     int64_t failures = 0;  // answers that count as a failed attempt
     core::time_point not_before{};
-    bool is_sent = false;       // a send is under way
+    bool is_sent = false;       // the request is being sent
     net::cancel_signal cancel;  // of that send
   };
   struct route_state {
@@ -77,7 +79,7 @@
 
   const fleet::route* RouteOf(const reward_job& job) const;
   int64_t SlotsOf(const fleet::route& where) const;
-  // Requests that may be sent now.
+  // Returns the number of requests that may be sent to the route now.
   int64_t RoomAt(const fleet::route& where);
   void Start(const std::shared_ptr<job_state>& job, fleet::route where);
   void End(const std::shared_ptr<job_state>& job, const fleet::route& where,
