--- a/packages/store/step_service.cc
+++ b/packages/store/step_service.cc
@@ -26,12 +26,13 @@
 using peering::envelope;
 
 constexpr milliseconds kHousePeriod{500};
-// Between two commands that drop old steps; each costs a sync.
+// Period of the commands that remove old steps. Each command costs a disk sync.
 constexpr std::chrono::seconds kForgetPeriod{10};
-// Most output in one page of results; the rest comes with the next.
+// Maximum size of the outputs in one page of results.
 constexpr uint64_t kMostPageBytes = 1000 * 1000;
-// ... and of one that is read from disk: an entry holds results of several
-// steps, so that a few times this is decoded, some 50 ms of a small instance.
+// The same for a page that is read from disk. A log entry contains results of
+// several steps, so a few times this size is decoded, which takes a small
+// instance some 50 ms.
 constexpr uint64_t kMostDiskBytes = 150 * 1000;
 constexpr milliseconds kLongestWait{5000};
 
@@ -140,12 +141,12 @@
   }
 }
 
-// Reads the outputs that are only on disk. Results of one entry follow each
-// other, so that each entry is read once.
+// Reads the outputs that are only on disk. The results of one log entry are
+// adjacent in a page, so each entry is read once.
 bool step_service::FillOutputs(const std::string& step,
                                steps::result_page& page) {
   uint64_t index = 0;
-  std::map<uint32_t, std::string> outputs;  // of that entry, by task
+  std::map<uint32_t, std::string> outputs;  // of the entry at `index`, by task
   for (steps::task_result& item : page.results) {
     if (item.bytes_on_disk == 0) continue;
     if (item.index != index) {
@@ -176,7 +177,7 @@
               {"is_ended", where->is_ended ? "true" : "false"},
               {"bytes",
                std::to_string(task.request ? task.request->body.size() : 0)}});
-    if (!task.request) co_return NoSuch("body any more");
+    if (!task.request) co_return NoSuch("request body: it was discarded");
     co_return Done(task.request->body);
   }
   co_return NoSuch("task");
@@ -200,9 +201,10 @@
   co_return answer;
 }
 
-// --- Stores that are emptied.
+// --- Retirement of stores.
 
-// Stores that hold the data or wait to, if `node` is left out.
+// Returns the number of stores that are members of the group or wait to join
+// it, without `node` and the stores that are being retired.
 size_t step_service::StoresWithout(const std::string& node) const {
   std::set<std::string> nodes = group_.Applicants();
   for (const std::string& member : group_.Members()) nodes.insert(member);
@@ -224,7 +226,8 @@
   co_return co_await CommitCall(kRetireCommand, core::EncodeBinary(command));
 }
 
-// A store is empty once it is no member any more: then no copy counts on it.
+// A store can be shut down when it is not a member of the group and the data is
+// fully replicated on the other members.
 awaitable<envelope> step_service::ReadRetirement(std::string payload) {
   const auto input = core::DecodeBinary<peering::named_item>(payload);
   if (!input) co_return Malformed();
@@ -236,7 +239,7 @@
   co_return Done(core::EncodeBinary(answer));
 }
 
-// --- Upkeep.
+// --- Periodic maintenance.
 
 awaitable<envelope> step_service::CommitCall(std::string name,
                                              std::string payload) {
@@ -248,7 +251,8 @@
   for (;;) {
     co_await net::Sleep(kHousePeriod);
     if (!group_.IsServing()) continue;
-    // A leader that is to be emptied can't leave while it leads.
+    // A leader that is being retired must transfer leadership before it can
+    // leave the group.
     if (state_.Retired().count(group_.OwnAddress()) != 0) group_.HandOver();
     if (clock_.Now() < forget_at) continue;
     forget_at = clock_.Now() + kForgetPeriod;
--- a/packages/store/step_service.h
+++ b/packages/store/step_service.h
@@ -1,9 +1,9 @@
 #ifndef HICKORYWOOD_STORE_STEP_SERVICE_H_
 #define HICKORYWOOD_STORE_STEP_SERVICE_H_
 
-// What the leader of a data group does for the other processes: it takes steps,
-// hands out their results, and empties stores. Each method answers kNotLeader
-// where this instance does not hold a live lease.
+// The service that the leader of a data group offers to other processes: it
+// accepts steps, returns their results, and retires stores. Each method returns
+// kNotLeader if this instance does not hold a live lease.
 
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/io_context.hpp>
@@ -19,11 +19,12 @@
 namespace hickorywood::store {
 
 struct step_service_options {
-  // How long a step is kept after it was submitted.
+  // Time from the submission of a step after which it is removed if it has
+  // ended.
   std::chrono::milliseconds step_retention{120000};
-  // A step that nobody ended is kept this long.
+  // The same for a step that has not ended.
   std::chrono::milliseconds open_step_retention{600000};
-  // Stores that must be left when one is emptied.
+  // Minimum number of stores that must remain when a store is retired.
   size_t least_stores = 3;
 };
 
@@ -36,7 +37,8 @@
   void Start();
   boost::asio::awaitable<peering::envelope> Handle(std::string method,
                                                    std::string payload);
-  // The replicated state changed, or this instance stopped leading.
+  // Called when the replicated state changed, or when this instance started or
+  // stopped leading.
   void OnChange();
 
  private:
