--- a/packages/store/step_state.cc
+++ b/packages/store/step_state.cc
@@ -84,8 +84,8 @@
   saved.retired = held_.retired;
   uint64_t index = applied;
   for (const auto& [id, where] : held_.steps) {
-    // One that came with a snapshot of the whole state has no entry; until it
-    // is forgotten there is nothing to be given up.
+    // A step from a snapshot of the complete state has no log entry. The log is
+    // not truncated until that step is removed.
     const uint64_t before =
         where.opened_index == 0 ? 0 : where.opened_index - 1;
     index = std::min(index, before);
--- a/packages/store/step_state.h
+++ b/packages/store/step_state.h
@@ -1,8 +1,8 @@
 #ifndef HICKORYWOOD_STORE_STEP_STATE_H_
 #define HICKORYWOOD_STORE_STEP_STATE_H_
 
-// What a data group replicates: steps with their tasks and results, and which
-// stores shall be empty.
+// The replicated state of a data group: the steps with their tasks and results,
+// and the stores that are being retired.
 
 #include <cstdint>
 #include <set>
@@ -50,8 +50,8 @@
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(end_step_command, step)
 
 struct forget_steps_command {
-  int64_t ended_before_ms = 0;   // ended steps submitted before are dropped
-  int64_t opened_before_ms = 0;  // and all steps submitted before this
+  int64_t ended_before_ms = 0;   // removes ended steps submitted before this
+  int64_t opened_before_ms = 0;  // removes all steps submitted before this
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(forget_steps_command,
                                                 ended_before_ms,
@@ -64,20 +64,20 @@
 
 class step_state : public group::hosted_state {
  public:
-  // `output_budget`: bytes of outputs of ended steps that stay in memory.
+  // `output_budget`: maximum bytes of outputs of ended steps in memory.
   explicit step_state(size_t output_budget) : output_budget_(output_budget) {}
 
   void Apply(const group::hosted_command& input) override;
   bool Restore(const std::string& data) override;
-  // The state before the oldest step that is held. All that came later is
-  // replayed from the log, which holds it anyway: a snapshot with the texts of
-  // two minutes took several times their memory while it was made.
+  // Returns the state before the oldest stored step. Later entries are replayed
+  // from the log, which contains them in any case. A snapshot that contained
+  // the texts of two minutes took several times their memory while it was made.
   consensus::saved_state Save(uint64_t applied) const override;
 
   const steps::step_book& Steps() const { return held_.steps; }
-  // nullptr: there is none.
+  // Returns nullptr if there is no such step.
   const steps::step* Find(const std::string& id) const;
-  // Stores that are to be emptied, by peer address.
+  // Peer addresses of the stores that are being retired.
   const std::set<std::string>& Retired() const { return held_.retired; }
 
   struct content {
