--- a/packages/store/store_instance.cc
+++ b/packages/store/store_instance.cc
@@ -29,7 +29,8 @@
 using core::milliseconds;
 
 constexpr char kGroupName[] = "data";
-// Time for a hand-over to reach the successor before the listener closes.
+// Time for a leadership transfer to reach the successor before the listener
+// closes.
 constexpr milliseconds kHandOverTime{300};
 
 peering::follower_options FollowerOptions(
@@ -90,7 +91,8 @@
       dispatch.OnApplied();
     };
     group.on_failure = [this] { loop.stop(); };
-    // Followers too: a new leader must know at once which engine has what.
+    // Followers request the weights too, because a new leader needs the weights
+    // of all engines at once.
     follower.WantWeights(true);
     follower.TellDemands([this] { return dispatch.Demands(); });
     follower.OnChange([this] { OnView(); });
@@ -108,8 +110,9 @@
     dispatch.OnView();
   }
 
-  // After a loss of disks it tells a step that is gone from one that nobody
-  // finds. Only a leader that serves has applied all that was accepted.
+  // Logs the steps that a new leader has loaded. After a loss of disks the
+  // entry shows whether a missing step was lost or is just not found. Only a
+  // leader that serves has applied all accepted commands.
   void NoteStepsHeld() {
     if (!has_steps_to_note || !group.IsServing()) return;
     has_steps_to_note = false;
@@ -166,7 +169,7 @@
   quarantine::crash_watch crashes;
   routing::request_sender sender;
   dispatcher dispatch;
-  peering::leader_caller leader;  // of the data group
+  peering::leader_caller leader;  // calls the leader of the data group
   remote_runner runner;
   net::listener peers;
   bool has_steps_to_note = false;
--- a/packages/store/store_instance.h
+++ b/packages/store/store_instance.h
@@ -1,8 +1,8 @@
 #ifndef HICKORYWOOD_STORE_STORE_INSTANCE_H_
 #define HICKORYWOOD_STORE_STORE_INSTANCE_H_
 
-// A store: its replica of the data group and, while it leads, the steps and the
-// runs of their tasks.
+// A store: its replica of the data group and, while it leads the group, the
+// service for steps and the dispatcher of their tasks.
 
 #include <boost/asio/io_context.hpp>
 #include <memory>
@@ -23,14 +23,15 @@
   store_instance(const store_instance&) = delete;
   store_instance& operator=(const store_instance&) = delete;
 
-  // False with the reason when the listener or the data folder can't be used.
+  // Returns false and sets the reason if the listener or the data folder can't
+  // be used.
   bool Start();
-  // New settings: only the seeds can change in a running process.
+  // Applies new settings. Only the seeds can change in a running process.
   void Reload(const settings::node_settings& settings);
-  // Gives leadership away and stops the loop.
+  // Transfers leadership and stops the loop.
   void BeginStop();
 
-  // Whether the disk failed, so that the exit code must say so.
+  // Whether the disk failed. The exit code of the process reports it.
   bool HasFailed() const;
 
   struct impl;
