--- a/packages/store/dispatch_limits.h
+++ b/packages/store/dispatch_limits.h
@@ -13,7 +13,7 @@
 
 // Period of the pass over waiting and running tasks. A slow engine takes longer
 // than this for one event, so a shorter period would find no changes.
-constexpr milliseconds kWatchPeriod{100};
+constexpr milliseconds kTaskCheckPeriod{100};
 constexpr milliseconds kConnectTimeout{500};
 // Maximum time from the request to the first event of a run. It is longer than
 // kEventTimeout because the prompt may wait behind a full batch.
@@ -32,67 +32,68 @@
 // all tasks of several steps at once kept the loop of a new leader busy for
 // longer than its followers wait for a heartbeat. They elected another leader,
 // which then had the same problem.
-constexpr size_t kMostStarting = 16;
+constexpr size_t kMaxStartingRuns = 16;
 // Number of runs up to which the leader reads all streams itself. A stream has
 // 20 events per second and each event takes 16 us of a core, so 100 streams
 // take a tenth of a small instance's CPU share, in addition to the commits.
 // Further runs go to other stores. Below this limit the calls to other stores
 // would cost more than they save.
-constexpr size_t kMostOwnRuns = 96;
+constexpr size_t kMaxOwnRuns = 96;
 // Maximum number of runs on one other store. It bounds the CPU time that their
 // streams take there, and the number of runs that are lost with that store.
-constexpr size_t kMostRunsOfRunner = 128;
+constexpr size_t kMaxRunsPerRunner = 128;
 // Maximum time for which the leader delays its answer to a runner's poll. It is
 // shorter while the runner has runs, so that an unreachable runner is detected
 // soon.
-constexpr milliseconds kBusyWait{300};
-constexpr milliseconds kIdleWait{2000};
+constexpr milliseconds kBusyPollWait{300};
+constexpr milliseconds kIdlePollWait{2000};
 // Additional time that a runner waits for an answer after that delay.
-constexpr milliseconds kAnswerSlack{400};
+constexpr milliseconds kPollTimeoutSlack{400};
 // A runner that gets no answer from its leader for this long cancels all its
 // runs, because the leader may have given their tasks to other runners.
-constexpr milliseconds kLeaderSilence{900};
+constexpr milliseconds kLeaderContactTimeout{900};
 // The leader gives the tasks of an unreachable runner to others after this
-// time. It is longer than kLeaderSilence, so that no task runs twice for long.
-constexpr milliseconds kRunnerSilence{1200};
+// time. It is longer than kLeaderContactTimeout, so that no task runs twice for
+// long.
+constexpr milliseconds kRunnerContactTimeout{1200};
 // The leader gives a task to another runner when it gets no report of the run
 // for this long. The runner ends a run whose engine sends no event for 2.5 s
 // and reports that at once, so after this time the report must have been lost.
-constexpr milliseconds kQuietRun{4000};
+constexpr milliseconds kRunReportTimeout{4000};
 // Maximum time between two polls of a runner within which it still gets orders.
-constexpr milliseconds kRunnerGap{200};
+constexpr milliseconds kMaxPollGap{200};
 // Time for which a runner collects reports before it sends them. The delay is
 // short for outcomes, because the engine has a free slot. Other reports only
 // update the estimates of engine speed and the text that a successor of the
 // leader can continue from.
-constexpr milliseconds kGatherEnds{25};
-constexpr milliseconds kGatherNews{300};
+constexpr milliseconds kOutcomeBatchDelay{25};
+constexpr milliseconds kProgressReportPeriod{300};
 // Minimum age of a run that is moved, and maximum number of moves of a task.
 // After a move the new engine has to process the prompt again.
-constexpr milliseconds kLeastStay{400};
-constexpr int kMostMoves = 2;
+constexpr milliseconds kMinRunTimeBeforeMove{400};
+constexpr int kMaxMovesPerTask = 2;
 // Period of committing the text of running tasks, and the number of new events
 // from which a task is included. Most tasks finish before they reach it.
-constexpr milliseconds kProgressPeriod{400};
-constexpr uint64_t kWorthKeeping = 10;
+constexpr milliseconds kProgressCommitPeriod{400};
+constexpr uint64_t kMinEventsToCommit = 10;
 // A complete text that waits for its score this long is committed without the
 // score, so that it need not be generated again if the leader fails. A reward
 // call usually takes some 80 ms. Committing each text before its reward call
 // would double the number of commits, and few texts would benefit.
-constexpr milliseconds kLongScoring{400};
+constexpr milliseconds kScoringCommitDelay{400};
 // Time constant for averaging the streams of a model. It covers two or three
 // steps, so that the average reflects the load of the model and not the current
 // phase of a step.
-constexpr std::chrono::duration<double> kDemandMemory{10};
+constexpr std::chrono::duration<double> kDemandSmoothingTime{10};
 // Time after the last task of a group until its prompt counts as evicted by the
 // engine. Two steps pass in this time, and a group can occur again in the next
 // step.
-constexpr std::chrono::seconds kPromptLifetime{15};
+constexpr std::chrono::seconds kPromptCacheLifetime{15};
 // A task without a result fails this long after its lifetime. The slack allows
 // for clock differences between two leaders.
-constexpr std::chrono::seconds kLifetimeSlack{3};
+constexpr std::chrono::seconds kTaskLifetimeSlack{3};
 // Time limit for a task that is sent to the engine.
-constexpr std::chrono::seconds kTaskTime{60};
+constexpr std::chrono::seconds kTaskTimeLimit{60};
 
 }  // namespace hickorywood::store
 
--- a/packages/store/dispatcher.cc
+++ b/packages/store/dispatcher.cc
@@ -134,8 +134,9 @@
 
 awaitable<void> dispatcher::KeepWatching() {
   for (;;) {
-    co_await wake_.WaitUntil(
-        clock_.Now() + (steps_.empty() ? milliseconds(1000) : kWatchPeriod));
+    co_await wake_.WaitUntil(clock_.Now() + (steps_.empty()
+                                                 ? milliseconds(1000)
+                                                 : kTaskCheckPeriod));
     if (!is_leading_) continue;
     if (!group_.IsServing()) {
       CancelAll();
@@ -347,13 +348,13 @@
 
 std::optional<std::string> dispatcher::RunnerFor(
     const std::string& zone, const dispatch_pass& pass) const {
-  const bool is_own_busy = runs_.size() >= kMostOwnRuns;
+  const bool is_own_busy = runs_.size() >= kMaxOwnRuns;
   if (is_own_busy) {
     auto other = ChooseRunner(*runners_, zone, clock_.Now());
     if (other) return other;
   }
   // No other store can take the run, so the leader runs it itself.
-  if (pass.starting < kMostStarting) return "";
+  if (pass.starting < kMaxStartingRuns) return "";
   return std::nullopt;
 }
 
@@ -434,7 +435,7 @@
   const time_point now = clock_.Now();
   for (auto& [incarnation, record] : engines_) {
     std::erase_if(record.groups, [now](const auto& item) {
-      return now - item.second > kPromptLifetime;
+      return now - item.second > kPromptCacheLifetime;
     });
   }
 }
--- a/packages/store/dispatcher_results.cc
+++ b/packages/store/dispatcher_results.cc
@@ -112,10 +112,10 @@
 // arrive earlier, and the text is committed with its score in one command.
 bool dispatcher::IsWorthCommitting(const task_run& task) const {
   if (task.stage == task_stage::kRunning) {
-    return task.text.events >= task.committed_events + kWorthKeeping;
+    return task.text.events >= task.committed_events + kMinEventsToCommit;
   }
   return task.stage == task_stage::kScoring && !task.is_whole_committed &&
-         clock_.Now() - task.whole_at >= kLongScoring;
+         clock_.Now() - task.whole_at >= kScoringCommitDelay;
 }
 
 // Collects the text that tasks have gained since their last commit, for the
@@ -153,7 +153,7 @@
 // the earlier commits.
 awaitable<void> dispatcher::KeepProgress() {
   for (;;) {
-    co_await net::Sleep(kProgressPeriod);
+    co_await net::Sleep(kProgressCommitPeriod);
     const bool has_work = !runs_.empty() || !rewards_.IsIdle();
     if (!is_leading_ || !has_work || !group_.IsServing()) continue;
     const add_progress_command command = CollectProgress();
@@ -168,7 +168,7 @@
 void dispatcher::NoteDemands() {
   const time_point now = clock_.Now();
   const std::chrono::duration<double> passed = now - demands_at_;
-  const double share = std::min(1.0, passed / kDemandMemory);
+  const double share = std::min(1.0, passed / kDemandSmoothingTime);
   demands_at_ = now;
   std::map<std::string, double> streams;
   for (const auto& item : runs_) ++streams[item.second->model];
@@ -197,7 +197,7 @@
       const bool has_route = terms != nullptr && terms->task_lifetime_ms > 0;
       if (!has_route) continue;
       const milliseconds lifetime(terms->task_lifetime_ms);
-      if (now - where.opened_at < lifetime + kLifetimeSlack) continue;
+      if (now - where.opened_at < lifetime + kTaskLifetimeSlack) continue;
       const auto running = runs_.find({id, i});
       if (running != runs_.end()) {
         const std::shared_ptr<run> ending = running->second;
@@ -215,9 +215,11 @@
   std::vector<std::shared_ptr<run>> moving;
   std::map<std::string, engine_pool> by_step;
   for (const auto& [key, item] : runs_) {
-    const bool is_settled = clock_.Now() - item->started_at >= kLeastStay;
+    const bool is_settled =
+        clock_.Now() - item->started_at >= kMinRunTimeBeforeMove;
     const task_run* task = FindTask(key);
-    if (!is_settled || task == nullptr || task->moves >= kMostMoves) continue;
+    if (!is_settled || task == nullptr || task->moves >= kMaxMovesPerTask)
+      continue;
     const auto step = state_.Steps().find(key.step);
     if (step == state_.Steps().end()) continue;
     auto pool = by_step.find(key.step);
--- a/packages/store/dispatcher_runs.cc
+++ b/packages/store/dispatcher_runs.cc
@@ -64,7 +64,7 @@
   const steps::generated_text& text =
       steps_.at(item.key.step).tasks[item.key.task].text;
   fleet::dispatch_terms terms;
-  terms.time_left = kTaskTime;
+  terms.time_left = kTaskTimeLimit;
   terms.endpoint = self.engine.name;
   if (text.events > 0) terms.last_event = text.events;
   net::request input =
@@ -133,7 +133,8 @@
   LoseRuns(input->runner, TakeQuestion(*runners_, *input, clock_.Now()));
   SchedulePump();
   open_question asked(runners_, *input, clock_);
-  const milliseconds wait = std::min(milliseconds(input->wait_ms), kIdleWait);
+  const milliseconds wait =
+      std::min(milliseconds(input->wait_ms), kIdlePollWait);
   const time_point until = clock_.Now() + wait;
   const auto is_known = [this, &input] {
     return IsKnown(*runners_, input->runner, input->session);
@@ -185,7 +186,8 @@
   std::vector<std::shared_ptr<run>> quiet;
   for (const auto& item : runs_) {
     const run& one = *item.second;
-    const bool is_quiet = !one.runner.empty() && now - one.heard_at > kQuietRun;
+    const bool is_quiet =
+        !one.runner.empty() && now - one.heard_at > kRunReportTimeout;
     if (is_quiet) quiet.push_back(item.second);
   }
   for (const auto& item : quiet) {
--- a/packages/store/remote_runner.cc
+++ b/packages/store/remote_runner.cc
@@ -21,7 +21,7 @@
 // Pause after a poll without a valid answer.
 constexpr milliseconds kPauseWithoutLeader{100};
 // Maximum number of attempts to send a set of reports. After that the leader
-// has been unreachable for longer than kLeaderSilence, and the runs are
+// has been unreachable for longer than kLeaderContactTimeout, and the runs are
 // cancelled.
 constexpr int kMostTries = 3;
 
@@ -75,11 +75,11 @@
 awaitable<void> remote_runner::KeepAsking() {
   while (!is_stopped_) {
     if (is_leader_()) {
-      co_await net::Sleep(kIdleWait);
+      co_await net::Sleep(kIdlePollWait);
       continue;
     }
-    const milliseconds wait = HasRuns() ? kBusyWait : kIdleWait;
-    const milliseconds patience = wait + kAnswerSlack;
+    const milliseconds wait = HasRuns() ? kBusyPollWait : kIdlePollWait;
+    const milliseconds patience = wait + kPollTimeoutSlack;
     orders_request input;
     input.runner = options_.address;
     input.zone = options_.zone;
@@ -126,8 +126,8 @@
 void remote_runner::StartWaiting() {
   // The tasks of waiting runs may have been given to other runners while this
   // process was suspended.
-  if (clock_.Now() - heard_at_ > kLeaderSilence) return;
-  while (!waiting_.empty() && runs_.Starting() < kMostStarting) {
+  if (clock_.Now() - heard_at_ > kLeaderContactTimeout) return;
+  while (!waiting_.empty() && runs_.Starting() < kMaxStartingRuns) {
     run_order next = std::move(waiting_.front());
     waiting_.pop_front();
     runs_.Start(std::move(next));
@@ -157,11 +157,11 @@
     // wait.
     const bool is_idle = !HasRuns() && news_.empty();
     if (!has_ends_) {
-      co_await has_news_.WaitUntil(is_idle ? time_point::max()
-                                           : clock_.Now() + kGatherNews);
+      co_await has_news_.WaitUntil(
+          is_idle ? time_point::max() : clock_.Now() + kProgressReportPeriod);
     }
     if (has_ends_) {
-      co_await net::Sleep(kGatherEnds);
+      co_await net::Sleep(kOutcomeBatchDelay);
     }
     std::vector<run_report> news = TakeNews();
     if (news.empty()) continue;
@@ -173,9 +173,9 @@
     input.reports = std::move(news);
     const std::string payload = core::EncodeBinary(input);
     for (int i = 0; i < kMostTries && input.session == session_; ++i) {
-      const envelope told =
-          co_await leader_.Ask(peering::kReportRunsMethod, payload,
-                               clock_.Now() + kAnswerSlack, kAnswerSlack);
+      const envelope told = co_await leader_.Ask(
+          peering::kReportRunsMethod, payload, clock_.Now() + kPollTimeoutSlack,
+          kPollTimeoutSlack);
       if (told.outcome == call_outcome::kDone) break;
       // The leader has removed this session and given its tasks to others, or
       // it is assumed to have done so.
@@ -191,7 +191,7 @@
 // text would be sent in pieces of single events.
 std::vector<run_report> remote_runner::TakeNews() {
   const bool is_all_due = clock_.Now() >= news_due_;
-  if (is_all_due) news_due_ = clock_.Now() + kGatherNews;
+  if (is_all_due) news_due_ = clock_.Now() + kProgressReportPeriod;
   std::vector<run_report> taken;
   std::erase_if(news_, [&taken, is_all_due](auto& item) {
     const bool is_due = is_all_due || item.second.is_over;
@@ -206,11 +206,11 @@
 // their tasks to other runners.
 awaitable<void> remote_runner::KeepWatching() {
   while (!is_stopped_) {
-    co_await net::Sleep(kWatchPeriod);
+    co_await net::Sleep(kTaskCheckPeriod);
     if (!HasRuns()) continue;
     runs_.EndStalled();
     const auto silence = clock_.Now() - heard_at_;
-    if (silence <= kLeaderSilence) continue;
+    if (silence <= kLeaderContactTimeout) continue;
     core::LogEvent(
         core::event_id::kRunsWithoutLeader,
         {{"runs", std::to_string(runs_.Running() + waiting_.size())},
--- a/packages/store/runner_book.cc
+++ b/packages/store/runner_book.cc
@@ -20,11 +20,11 @@
 // Whether the runner polls now or did so a moment ago. A working runner sends
 // its next poll directly after an answer.
 bool IsAtHand(const known_runner& one, core::time_point now) {
-  return one.is_asking || now - one.heard_at < kRunnerGap;
+  return one.is_asking || now - one.heard_at < kMaxPollGap;
 }
 
 bool HasRoom(const known_runner& one) {
-  return one.runs.size() < kMostRunsOfRunner;
+  return one.runs.size() < kMaxRunsPerRunner;
 }
 
 }  // namespace
@@ -84,7 +84,7 @@
   known_runner* const one = Find(book, runner);
   if (one == nullptr || one->session != session) return;
   one->is_asking = false;
-  one->heard_at = now - (kRunnerSilence - kRunnerGap);
+  one->heard_at = now - (kRunnerContactTimeout - kMaxPollGap);
 }
 
 bool TakeReports(runner_book& book, const reports_request& input, uint64_t term,
@@ -111,7 +111,7 @@
   std::vector<std::string> silent;
   for (const auto& [runner, one] : book.runners) {
     const bool is_silent =
-        !one.is_asking && now - one.heard_at > kRunnerSilence;
+        !one.is_asking && now - one.heard_at > kRunnerContactTimeout;
     if (is_silent) silent.push_back(runner);
   }
   std::map<std::string, std::vector<uint64_t>> lost;
--- a/packages/store/runner_book.h
+++ b/packages/store/runner_book.h
@@ -101,8 +101,8 @@
 
 // Removes a runner and returns its runs.
 std::vector<uint64_t> LoseRunner(runner_book& book, const std::string& runner);
-// Removes all runners that have not polled or reported within kRunnerSilence,
-// and returns the runs of each.
+// Removes all runners that have not polled or reported within
+// kRunnerContactTimeout, and returns the runs of each.
 std::map<std::string, std::vector<uint64_t>> LoseSilent(runner_book& book,
                                                         core::time_point now);
 
--- a/tests/unit/store/runner_book_test.cc
+++ b/tests/unit/store/runner_book_test.cc
@@ -69,8 +69,9 @@
 // A store is frozen, or cut from the leader but not from the engines.
 TEST(RunnerBookTest, ASilentRunnerLosesItsRuns) {
   runner_book book = MakeBook();
-  EXPECT_TRUE(LoseSilent(book, kStart + kRunnerSilence).empty());
-  const auto lost = LoseSilent(book, kStart + kRunnerSilence + milliseconds(1));
+  EXPECT_TRUE(LoseSilent(book, kStart + kRunnerContactTimeout).empty());
+  const auto lost =
+      LoseSilent(book, kStart + kRunnerContactTimeout + milliseconds(1));
   ASSERT_EQ(lost.count("a"), 1U);
   EXPECT_EQ(lost.at("a"), (runs{1, 2}));
   EXPECT_TRUE(book.runners.empty());
@@ -79,18 +80,19 @@
 // It ends its runs before the leader gives them to others: a task that runs
 // twice costs a place that another one could have.
 TEST(RunnerBookTest, ARunnerGivesUpBeforeItsLeaderDoes) {
-  EXPECT_LT(kLeaderSilence, kRunnerSilence);
-  EXPECT_LT(kBusyWait + kAnswerSlack, kLeaderSilence);
+  EXPECT_LT(kLeaderContactTimeout, kRunnerContactTimeout);
+  EXPECT_LT(kBusyPollWait + kPollTimeoutSlack, kLeaderContactTimeout);
 }
 
 // The process is killed: its connection closes, and nobody waits for silence.
 TEST(RunnerBookTest, AnAbandonedQuestionIsNoticedSoon) {
   runner_book book = MakeBook();
   TakeQuestion(book, Question("a", 1), kStart);
-  EXPECT_TRUE(LoseSilent(book, kStart + kIdleWait).empty());
+  EXPECT_TRUE(LoseSilent(book, kStart + kIdlePollWait).empty());
   NoteAbandoned(book, "a", "one", kStart);
   EXPECT_TRUE(LoseSilent(book, kStart).empty());
-  EXPECT_EQ(LoseSilent(book, kStart + kRunnerGap + milliseconds(1)).size(), 1U);
+  EXPECT_EQ(LoseSilent(book, kStart + kMaxPollGap + milliseconds(1)).size(),
+            1U);
 }
 
 // The answer to a set of reports is lost and it comes again: its texts count
@@ -140,7 +142,7 @@
 TEST(RunnerBookTest, AFullRunnerGetsNoMore) {
   runner_book book;
   TakeQuestion(book, Question("a", 0), kStart);
-  for (size_t i = 0; i < kMostRunsOfRunner; ++i) {
+  for (size_t i = 0; i < kMaxRunsPerRunner; ++i) {
     ASSERT_TRUE(ChooseRunner(book, "", kStart));
     AddOrder(book, "a", MakeOrder(i));
   }
@@ -166,7 +168,7 @@
 TEST(RunnerBookTest, WhoDoesNotAskGetsNothing) {
   runner_book book = MakeBook();
   EXPECT_TRUE(ChooseRunner(book, "", kStart));
-  EXPECT_FALSE(ChooseRunner(book, "", kStart + kRunnerGap));
+  EXPECT_FALSE(ChooseRunner(book, "", kStart + kMaxPollGap));
 }
 
 // A step ends while an order of it waits to be handed over, and another one of
