--- a/packages/store/dispatcher_runs.cc
+++ b/packages/store/dispatcher_runs.cc
@@ -107,7 +107,8 @@
         session_(input.session),
         clock_(clock) {}
   ~open_question() {
-    if (!is_answered_) NoteAbandoned(*book_, runner_, session_, clock_.Now());
+    if (!is_answered_)
+      RecordAbandonedPoll(*book_, runner_, session_, clock_.Now());
   }
   open_question(const open_question&) = delete;
   open_question& operator=(const open_question&) = delete;
@@ -130,14 +131,14 @@
   if (!input) co_return group::Malformed();
   // This store sent the poll before it became the leader itself.
   if (input->runner == group_.OwnAddress()) co_return peering::envelope{};
-  LoseRuns(input->runner, TakeQuestion(*runners_, *input, clock_.Now()));
+  LoseRuns(input->runner, ApplyPoll(*runners_, *input, clock_.Now()));
   SchedulePump();
   open_question asked(runners_, *input, clock_);
   const milliseconds wait =
       std::min(milliseconds(input->wait_ms), kIdlePollWait);
   const time_point until = clock_.Now() + wait;
   const auto is_known = [this, &input] {
-    return IsKnown(*runners_, input->runner, input->session);
+    return HasSession(*runners_, input->runner, input->session);
   };
   while (is_known() && !HasOrders(*runners_, input->runner) &&
          clock_.Now() < until) {
@@ -155,11 +156,11 @@
 peering::envelope dispatcher::TakeReportsRequest(const std::string& payload) {
   auto input = core::DecodeBinary<reports_request>(payload);
   if (!input) return group::Malformed();
-  if (!IsKnown(*runners_, input->runner, input->session)) {
+  if (!HasSession(*runners_, input->runner, input->session)) {
     return {peering::call_outcome::kNotFound, "", "no such session", ""};
   }
   // Repeated reports are acknowledged again but applied only once.
-  if (TakeReports(*runners_, *input, group_.Term(), clock_.Now())) {
+  if (AcceptReports(*runners_, *input, group_.Term(), clock_.Now())) {
     for (run_report& report : input->reports) TakeReport(std::move(report));
   }
   return group::Done();
@@ -180,7 +181,7 @@
 
 void dispatcher::LoseSilentRunners() {
   const time_point now = clock_.Now();
-  for (const auto& [runner, runs] : LoseSilent(*runners_, now)) {
+  for (const auto& [runner, runs] : RemoveUnreachable(*runners_, now)) {
     LoseRuns(runner, runs);
   }
   std::vector<std::shared_ptr<run>> quiet;
@@ -230,7 +231,7 @@
 
 void dispatcher::Forget(const run& ended) {
   --engines_[ended.engine.incarnation].running;
-  if (!ended.runner.empty()) NoteOver(*runners_, ended.runner, ended.id);
+  if (!ended.runner.empty()) RemoveEndedRun(*runners_, ended.runner, ended.id);
   runs_by_id_.erase(ended.id);
   runs_.erase(task_key(ended.key));
 }
--- a/packages/store/runner_book.cc
+++ b/packages/store/runner_book.cc
@@ -8,154 +8,159 @@
 namespace hickorywood::store {
 namespace {
 
-std::vector<uint64_t> ListOf(const std::set<uint64_t>& runs) {
+std::vector<uint64_t> ToVector(const std::set<uint64_t>& runs) {
   return {runs.begin(), runs.end()};
 }
 
-known_runner* Find(runner_book& book, const std::string& runner) {
-  const auto found = book.runners.find(runner);
-  return found == book.runners.end() ? nullptr : &found->second;
+registered_runner* Find(runner_book& registry, const std::string& runner) {
+  const auto found = registry.runners.find(runner);
+  return found == registry.runners.end() ? nullptr : &found->second;
 }
 
 // Whether the runner polls now or did so a moment ago. A working runner sends
 // its next poll directly after an answer.
-bool IsAtHand(const known_runner& one, core::time_point now) {
-  return one.is_asking || now - one.heard_at < kMaxPollGap;
+bool IsPollingNow(const registered_runner& entry, core::time_point now) {
+  return entry.is_polling || now - entry.last_contact_at < kMaxPollGap;
 }
 
-bool HasRoom(const known_runner& one) {
-  return one.runs.size() < kMaxRunsPerRunner;
+bool HasRoom(const registered_runner& entry) {
+  return entry.runs.size() < kMaxRunsPerRunner;
 }
 
 }  // namespace
 
-std::vector<uint64_t> TakeQuestion(runner_book& book,
-                                   const orders_request& input,
-                                   core::time_point now) {
-  known_runner& one = book.runners[input.runner];
-  std::vector<uint64_t> lost;
-  if (one.session != input.session) {
-    lost = ListOf(one.runs);
-    one = known_runner{};
-    one.session = input.session;
-  } else if (input.received < one.answers) {
-    lost = one.unconfirmed;
+std::vector<uint64_t> ApplyPoll(runner_book& registry,
+                                const orders_request& input,
+                                core::time_point now) {
+  registered_runner& entry = registry.runners[input.runner];
+  std::vector<uint64_t> lost_runs;
+  if (entry.session != input.session) {
+    lost_runs = ToVector(entry.runs);
+    entry = registered_runner{};
+    entry.session = input.session;
+  } else if (input.received < entry.last_answer) {
+    lost_runs = entry.unconfirmed_runs;
   }
-  one.unconfirmed.clear();
-  one.zone = input.zone;
-  one.heard_at = now;
-  one.is_asking = true;
-  return lost;
+  entry.unconfirmed_runs.clear();
+  entry.zone = input.zone;
+  entry.last_contact_at = now;
+  entry.is_polling = true;
+  return lost_runs;
 }
 
-orders_answer MakeAnswer(runner_book& book, const std::string& runner,
+orders_answer MakeAnswer(runner_book& registry, const std::string& runner,
                          uint64_t term, core::time_point now) {
   orders_answer answer;
   answer.term = term;
-  known_runner* const one = Find(book, runner);
-  if (one == nullptr) return answer;
-  one->is_asking = false;
-  one->heard_at = now;
-  answer.number = ++one->answers;
-  answer.orders = std::move(one->orders);
-  answer.cancelled = std::move(one->cancelled);
-  one->orders.clear();
-  one->cancelled.clear();
+  registered_runner* const entry = Find(registry, runner);
+  if (entry == nullptr) return answer;
+  entry->is_polling = false;
+  entry->last_contact_at = now;
+  answer.number = ++entry->last_answer;
+  answer.orders = std::move(entry->orders);
+  answer.cancelled = std::move(entry->cancelled);
+  entry->orders.clear();
+  entry->cancelled.clear();
   for (const run_order& order : answer.orders) {
-    one->unconfirmed.push_back(order.run);
+    entry->unconfirmed_runs.push_back(order.run);
   }
   return answer;
 }
 
-bool HasOrders(const runner_book& book, const std::string& runner) {
-  const auto found = book.runners.find(runner);
-  if (found == book.runners.end()) return false;
+bool HasOrders(const runner_book& registry, const std::string& runner) {
+  const auto found = registry.runners.find(runner);
+  if (found == registry.runners.end()) return false;
   return !found->second.orders.empty() || !found->second.cancelled.empty();
 }
 
-bool IsKnown(const runner_book& book, const std::string& runner,
-             const std::string& session) {
-  const auto found = book.runners.find(runner);
-  return found != book.runners.end() && found->second.session == session;
+bool HasSession(const runner_book& registry, const std::string& runner,
+                const std::string& session) {
+  const auto found = registry.runners.find(runner);
+  return found != registry.runners.end() && found->second.session == session;
 }
 
-void NoteAbandoned(runner_book& book, const std::string& runner,
-                   const std::string& session, core::time_point now) {
-  known_runner* const one = Find(book, runner);
-  if (one == nullptr || one->session != session) return;
-  one->is_asking = false;
-  one->heard_at = now - (kRunnerContactTimeout - kMaxPollGap);
+void RecordAbandonedPoll(runner_book& registry, const std::string& runner,
+                         const std::string& session, core::time_point now) {
+  registered_runner* const entry = Find(registry, runner);
+  if (entry == nullptr || entry->session != session) return;
+  entry->is_polling = false;
+  entry->last_contact_at = now - (kRunnerContactTimeout - kMaxPollGap);
 }
 
-bool TakeReports(runner_book& book, const reports_request& input, uint64_t term,
-                 core::time_point now) {
-  known_runner* const one = Find(book, input.runner);
-  if (one == nullptr || one->session != input.session) return false;
-  one->heard_at = now;
-  const bool is_next = input.term == term && input.number == one->reports + 1;
+bool AcceptReports(runner_book& registry, const reports_request& input,
+                   uint64_t term, core::time_point now) {
+  registered_runner* const entry = Find(registry, input.runner);
+  if (entry == nullptr || entry->session != input.session) return false;
+  entry->last_contact_at = now;
+  const bool is_next = input.term == term && input.number == entry->reports + 1;
   if (!is_next) return false;
-  one->reports = input.number;
+  entry->reports = input.number;
   return true;
 }
 
-std::vector<uint64_t> LoseRunner(runner_book& book, const std::string& runner) {
-  const auto found = book.runners.find(runner);
-  if (found == book.runners.end()) return {};
-  std::vector<uint64_t> lost = ListOf(found->second.runs);
-  book.runners.erase(found);
-  return lost;
+std::vector<uint64_t> RemoveRunner(runner_book& registry,
+                                   const std::string& runner) {
+  const auto found = registry.runners.find(runner);
+  if (found == registry.runners.end()) return {};
+  std::vector<uint64_t> lost_runs = ToVector(found->second.runs);
+  registry.runners.erase(found);
+  return lost_runs;
 }
 
-std::map<std::string, std::vector<uint64_t>> LoseSilent(runner_book& book,
-                                                        core::time_point now) {
-  std::vector<std::string> silent;
-  for (const auto& [runner, one] : book.runners) {
-    const bool is_silent =
-        !one.is_asking && now - one.heard_at > kRunnerContactTimeout;
-    if (is_silent) silent.push_back(runner);
+std::map<std::string, std::vector<uint64_t>> RemoveUnreachable(
+    runner_book& registry, core::time_point now) {
+  std::vector<std::string> unreachable;
+  for (const auto& [runner, entry] : registry.runners) {
+    const bool is_unreachable =
+        !entry.is_polling &&
+        now - entry.last_contact_at > kRunnerContactTimeout;
+    if (is_unreachable) unreachable.push_back(runner);
   }
-  std::map<std::string, std::vector<uint64_t>> lost;
-  for (const std::string& runner : silent) {
-    lost[runner] = LoseRunner(book, runner);
+  std::map<std::string, std::vector<uint64_t>> lost_runs;
+  for (const std::string& runner : unreachable) {
+    lost_runs[runner] = RemoveRunner(registry, runner);
   }
-  return lost;
+  return lost_runs;
 }
 
-std::optional<std::string> ChooseRunner(const runner_book& book,
+std::optional<std::string> ChooseRunner(const runner_book& registry,
                                         const std::string& zone,
                                         core::time_point now) {
-  const std::pair<const std::string, known_runner>* best = nullptr;
-  const auto rank = [&zone](const known_runner& one) {
-    return std::pair(one.zone == zone, one.runs.size());
+  const std::pair<const std::string, registered_runner>* best = nullptr;
+  const auto rank = [&zone](const registered_runner& entry) {
+    return std::pair(entry.zone == zone, entry.runs.size());
   };
-  for (const auto& item : book.runners) {
-    const known_runner& one = item.second;
-    if (!IsAtHand(one, now) || !HasRoom(one)) continue;
-    if (best == nullptr || rank(one) > rank(best->second)) best = &item;
+  for (const auto& item : registry.runners) {
+    const registered_runner& entry = item.second;
+    if (!IsPollingNow(entry, now) || !HasRoom(entry)) continue;
+    if (best == nullptr || rank(entry) > rank(best->second)) best = &item;
   }
   if (best == nullptr) return std::nullopt;
   return best->first;
 }
 
-void AddOrder(runner_book& book, const std::string& runner, run_order order) {
-  known_runner* const one = Find(book, runner);
-  if (one == nullptr) return;
-  one->runs.insert(order.run);
-  one->orders.push_back(std::move(order));
+void AddOrder(runner_book& registry, const std::string& runner,
+              run_order order) {
+  registered_runner* const entry = Find(registry, runner);
+  if (entry == nullptr) return;
+  entry->runs.insert(order.run);
+  entry->orders.push_back(std::move(order));
 }
 
-void CancelRun(runner_book& book, const std::string& runner, uint64_t run) {
-  known_runner* const one = Find(book, runner);
-  if (one == nullptr) return;
+void CancelRun(runner_book& registry, const std::string& runner, uint64_t run) {
+  registered_runner* const entry = Find(registry, runner);
+  if (entry == nullptr) return;
   // A run whose order was not sent need not be cancelled at the runner.
-  const size_t held = std::erase_if(
-      one->orders, [run](const run_order& order) { return order.run == run; });
-  if (held == 0) one->cancelled.push_back(run);
+  const size_t removed =
+      std::erase_if(entry->orders,
+                    [run](const run_order& order) { return order.run == run; });
+  if (removed == 0) entry->cancelled.push_back(run);
 }
 
-void NoteOver(runner_book& book, const std::string& runner, uint64_t run) {
-  known_runner* const one = Find(book, runner);
-  if (one != nullptr) one->runs.erase(run);
+void RemoveEndedRun(runner_book& registry, const std::string& runner,
+                    uint64_t run) {
+  registered_runner* const entry = Find(registry, runner);
+  if (entry != nullptr) entry->runs.erase(run);
 }
 
 }  // namespace hickorywood::store
--- a/packages/store/runner_book.h
+++ b/packages/store/runner_book.h
@@ -55,70 +55,73 @@
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(reports_request, runner,
                                                 session, term, number, reports)
 
-struct known_runner {
+struct registered_runner {
   std::string zone;
   std::string session;
-  core::time_point heard_at{};
-  bool is_asking = false;  // a poll waits for its answer
-  uint64_t answers = 0;    // number of the last answer
-  uint64_t reports = 0;    // number of the last accepted reports
+  core::time_point last_contact_at{};
+  bool is_polling = false;   // a poll waits for its answer
+  uint64_t last_answer = 0;  // number of the last answer
+  uint64_t reports = 0;      // number of the last accepted reports
   std::set<uint64_t> runs;
   // To be sent in the next answer.
   std::vector<run_order> orders;
   std::vector<uint64_t> cancelled;
   // Runs whose orders were sent in the last answer, which may be lost.
-  std::vector<uint64_t> unconfirmed;
+  std::vector<uint64_t> unconfirmed_runs;
 };
 
 struct runner_book {
-  std::map<std::string, known_runner> runners;  // by peer address
+  std::map<std::string, registered_runner> runners;  // by peer address
 };
 
 // Handles a poll. Returns the runs that it shows to be lost: those of an
 // earlier session, and those whose orders did not arrive.
-std::vector<uint64_t> TakeQuestion(runner_book& book,
-                                   const orders_request& input,
-                                   core::time_point now);
+std::vector<uint64_t> ApplyPoll(runner_book& registry,
+                                const orders_request& input,
+                                core::time_point now);
 // Returns the answer to the runner's poll and clears the queued orders.
-orders_answer MakeAnswer(runner_book& book, const std::string& runner,
+orders_answer MakeAnswer(runner_book& registry, const std::string& runner,
                          uint64_t term, core::time_point now);
-bool HasOrders(const runner_book& book, const std::string& runner);
+bool HasOrders(const runner_book& registry, const std::string& runner);
 // Whether the registry contains the session of a runner. It does not after the
 // runner was removed or leadership was lost.
-bool IsKnown(const runner_book& book, const std::string& runner,
-             const std::string& session);
+bool HasSession(const runner_book& registry, const std::string& runner,
+                const std::string& session);
 // Called when a runner closed its poll before the answer. Either the runner has
 // terminated, or it polls again at once.
-void NoteAbandoned(runner_book& book, const std::string& runner,
-                   const std::string& session, core::time_point now);
+void RecordAbandonedPoll(runner_book& registry, const std::string& runner,
+                         const std::string& session, core::time_point now);
 
 // Returns whether reports are the next ones of a registered session, about runs
 // that the leader of `term` ordered. Other reports must be ignored. Reports
 // that were sent to a failed leader can reach its successor under the same
 // session, where their number and run ids are not valid.
-bool TakeReports(runner_book& book, const reports_request& input, uint64_t term,
-                 core::time_point now);
+bool AcceptReports(runner_book& registry, const reports_request& input,
+                   uint64_t term, core::time_point now);
 
 // Removes a runner and returns its runs.
-std::vector<uint64_t> LoseRunner(runner_book& book, const std::string& runner);
+std::vector<uint64_t> RemoveRunner(runner_book& registry,
+                                   const std::string& runner);
 // Removes all runners that have not polled or reported within
 // kRunnerContactTimeout, and returns the runs of each.
-std::map<std::string, std::vector<uint64_t>> LoseSilent(runner_book& book,
-                                                        core::time_point now);
+std::map<std::string, std::vector<uint64_t>> RemoveUnreachable(
+    runner_book& registry, core::time_point now);
 
 // Chooses the runner for a task at an engine of `zone`. No value if none has
 // room. Prefers runners in the engine's zone, which avoids traffic between
 // zones for each event. Among these it prefers the one with the most runs,
 // because a call can then carry the reports of many runs.
-std::optional<std::string> ChooseRunner(const runner_book& book,
+std::optional<std::string> ChooseRunner(const runner_book& registry,
                                         const std::string& zone,
                                         core::time_point now);
 
-void AddOrder(runner_book& book, const std::string& runner, run_order order);
+void AddOrder(runner_book& registry, const std::string& runner,
+              run_order order);
 // Cancels a run at its runner.
-void CancelRun(runner_book& book, const std::string& runner, uint64_t run);
+void CancelRun(runner_book& registry, const std::string& runner, uint64_t run);
 // Removes a run that has ended.
-void NoteOver(runner_book& book, const std::string& runner, uint64_t run);
+void RemoveEndedRun(runner_book& registry, const std::string& runner,
+                    uint64_t run);
 
 }  // namespace hickorywood::store
 
