--- a/packages/store/dispatcher.cc
+++ b/packages/store/dispatcher.cc
@@ -51,8 +51,8 @@
   own_runs_.on_report = [this](run_report report) {
     TakeReport(std::move(report));
   };
-  rewards_.on_end = [this](const task_key& key, reward_end how,
-                           const std::string& score) {
+  rewards_.on_finished = [this](const task_key& key, reward_end how,
+                                const std::string& score) {
     OnScored(key, how, score);
   };
   rewards_.open_in_group = [this](const task_key& key) {
@@ -72,7 +72,7 @@
     CancelAll();
     runners_->runners.clear();
     orders_filled_.Notify();
-    rewards_.DropAll();
+    rewards_.CancelAll();
     steps_.clear();
     outbox_.clear();
     demands_.clear();
@@ -162,13 +162,13 @@
     if (is_open && !is_known) StartStep(id, where);
     if (!is_open && is_known) {
       CancelRuns(id);
-      rewards_.DropStep(id);
+      rewards_.CancelStep(id);
       steps_.erase(id);
     }
   }
   std::erase_if(steps_, [this](const auto& item) {
     const bool is_forgotten = state_.Steps().count(item.first) == 0;
-    if (is_forgotten) rewards_.DropStep(item.first);
+    if (is_forgotten) rewards_.CancelStep(item.first);
     return is_forgotten;
   });
 }
@@ -273,7 +273,7 @@
   for (const std::string& id : StepsByAge()) {
     PumpStep(id, steps_.at(id), pass);
   }
-  rewards_.Pump();
+  rewards_.SendWaiting();
 }
 
 // Number of runs on this store whose engine has not sent a response head yet.
--- a/packages/store/dispatcher_results.cc
+++ b/packages/store/dispatcher_results.cc
@@ -59,7 +59,7 @@
   task_run* const task = FindTask(key);
   if (task == nullptr || task->stage == task_stage::kDone) return;
   task->stage = task_stage::kDone;
-  rewards_.Drop(key);
+  rewards_.CancelTask(key);
   if (const steps::step* step = state_.Find(key.step)) {
     --steps_.at(key.step).open_by_group[step->input.tasks.at(key.task).group];
   }
--- a/packages/store/reward_caller.cc
+++ b/packages/store/reward_caller.cc
@@ -15,15 +15,15 @@
 using core::time_point;
 
 // Timeout of requests of a route that has none configured.
-constexpr milliseconds kDefaultTime{2000};
+constexpr milliseconds kDefaultTimeout{2000};
 
 // Maximum pause before a quarantined request is tried again. A quarantine may
 // be lifted before its scheduled end.
-constexpr milliseconds kQuarantinePoll{1000};
+constexpr milliseconds kMaxQuarantinePause{1000};
 
-milliseconds PauseAfter(const routing::send_outcome& outcome) {
+milliseconds RetryPauseAfter(const routing::send_outcome& outcome) {
   return outcome.quarantined_for
-             ? std::min(*outcome.quarantined_for, kQuarantinePoll)
+             ? std::min(*outcome.quarantined_for, kMaxQuarantinePause)
              : kRetryPause;
 }
 
@@ -41,42 +41,43 @@
     : loop_(loop), clock_(clock), sender_(sender), wire_(wire), view_(view) {}
 
 void reward_caller::Add(reward_job job) {
-  const auto fresh = std::make_shared<job_state>();
+  const auto added = std::make_shared<job_state>();
   const task_key key = job.key;
-  fresh->job = std::move(job);
-  jobs_[key] = fresh;
+  added->job = std::move(job);
+  jobs_[key] = added;
 }
 
-void reward_caller::Pump() {
+void reward_caller::SendWaiting() {
   const time_point now = clock_.Now();
   // Free slots of each route, computed once per pass. Computing them for each
   // job iterates over all endpoints and took an eighth of a busy leader's CPU
   // time.
-  std::map<const fleet::route*, int64_t> room;
-  const auto room_at = [this, &room](const fleet::route* where) -> int64_t& {
-    const auto [found, is_new] = room.try_emplace(where, 0);
-    if (is_new) found->second = RoomAt(*where);
+  std::map<const fleet::route*, int64_t> free_slots;
+  const auto free_slots_at =
+      [this, &free_slots](const fleet::route* where) -> int64_t& {
+    const auto [found, is_new] = free_slots.try_emplace(where, 0);
+    if (is_new) found->second = FreeSlotsAt(*where);
     return found->second;
   };
   std::vector<steps::waiting_reward> waiting;
-  std::vector<std::shared_ptr<job_state>> owners;
+  std::vector<std::shared_ptr<job_state>> waiting_jobs;
   for (const auto& [key, job] : jobs_) {
     if (job->is_sent || job->not_before > now) continue;
     const fleet::route* where = RouteOf(job->job);
-    if (where == nullptr || room_at(where) <= 0) continue;
+    if (where == nullptr || free_slots_at(where) <= 0) continue;
     steps::waiting_reward item;
     item.open_in_group = open_in_group(key);
     item.opened_at = job->job.opened_at;
     item.task = key.task;
     waiting.push_back(item);
-    owners.push_back(job);
+    waiting_jobs.push_back(job);
   }
   for (const size_t index : steps::OrderRewards(waiting)) {
-    const fleet::route* where = RouteOf(owners[index]->job);
-    int64_t& left = room_at(where);
-    if (left <= 0) continue;
-    --left;
-    Start(owners[index], *where);
+    const fleet::route* where = RouteOf(waiting_jobs[index]->job);
+    int64_t& slots_left = free_slots_at(where);
+    if (slots_left <= 0) continue;
+    --slots_left;
+    Start(waiting_jobs[index], *where);
   }
 }
 
@@ -100,7 +101,7 @@
   return slots;
 }
 
-int64_t reward_caller::RoomAt(const fleet::route& where) {
+int64_t reward_caller::FreeSlotsAt(const fleet::route& where) {
   const route_state& state = routes_[where.name];
   return routing::AllowedNow(state.limit, SlotsOf(where)) - state.running;
 }
@@ -110,12 +111,12 @@
   // A reward request may always be repeated, whatever the kind of its route.
   where.kind = fleet::route_kind::kIdempotent;
   const time_point started = clock_.Now();
-  const milliseconds time =
-      where.timeout_ms > 0 ? milliseconds(where.timeout_ms) : kDefaultTime;
+  const milliseconds timeout =
+      where.timeout_ms > 0 ? milliseconds(where.timeout_ms) : kDefaultTimeout;
   routing::send_terms terms;
   terms.where = where;
   terms.id = job->job.request.id;
-  terms.deadline = started + time;
+  terms.deadline = started + timeout;
   job->is_sent = true;
   job->cancel = net::MakeCancelSignal();
   ++routes_[where.name].running;
@@ -131,16 +132,16 @@
           const std::exception_ptr& failure,
           const routing::send_outcome& outcome) {
         --routes_[where.name].running;
-        const auto held = jobs_.find(job->job.key);
-        const bool is_current =
-            held != jobs_.end() && held->second == job && job->cancel == cancel;
-        if (!failure && is_current) End(job, where, started, outcome);
+        const auto found = jobs_.find(job->job.key);
+        const bool is_current = found != jobs_.end() && found->second == job &&
+                                job->cancel == cancel;
+        if (!failure && is_current) FinishSend(job, where, started, outcome);
       });
 }
 
-void reward_caller::End(const std::shared_ptr<job_state>& job,
-                        const fleet::route& where, time_point started,
-                        const routing::send_outcome& outcome) {
+void reward_caller::FinishSend(const std::shared_ptr<job_state>& job,
+                               const fleet::route& where, time_point started,
+                               const routing::send_outcome& outcome) {
   const time_point now = clock_.Now();
   const bool is_scored = IsScored(outcome);
   routing::adaptive_limit& limit = routes_[where.name].limit;
@@ -150,8 +151,9 @@
     routing::NoteServed(limit, SlotsOf(where));
   }
   job->failures += outcome.failed_answers;
-  const bool is_given_up = !is_scored && job->failures >= where.max_attempts;
-  const auto took = std::chrono::duration_cast<milliseconds>(now - started);
+  const bool is_abandoned = !is_scored && job->failures >= where.max_attempts;
+  const auto call_time =
+      std::chrono::duration_cast<milliseconds>(now - started);
   const int status = outcome.answer ? outcome.answer->status : 0;
   LogEvent(event_id::kRewardCallEnded,
            {{"step", job->job.key.step},
@@ -163,17 +165,17 @@
             {"refusals", std::to_string(outcome.refusals)},
             {"failures", std::to_string(job->failures)},
             {"problem", outcome.problem},
-            {"ms", std::to_string(took.count())}});
+            {"ms", std::to_string(call_time.count())}});
   job->is_sent = false;
-  job->not_before = now + PauseAfter(outcome);
-  if (!is_scored && !is_given_up) return;
+  job->not_before = now + RetryPauseAfter(outcome);
+  if (!is_scored && !is_abandoned) return;
   const task_key key = job->job.key;
   jobs_.erase(key);
   if (is_scored) {
-    on_end(key, reward_end::kScored,
-           wire_.DecodeMarks(*outcome.answer).signature);
+    on_finished(key, reward_end::kScored,
+                wire_.DecodeMarks(*outcome.answer).signature);
   } else {
-    on_end(key, reward_end::kGivenUp, "");
+    on_finished(key, reward_end::kAbandoned, "");
   }
 }
 
@@ -184,7 +186,7 @@
   net::Cancel(cancel);
 }
 
-void reward_caller::Drop(const task_key& key) {
+void reward_caller::CancelTask(const task_key& key) {
   const auto found = jobs_.find(key);
   if (found == jobs_.end()) return;
   const std::shared_ptr<job_state> job = found->second;
@@ -192,15 +194,15 @@
   CancelSend(*job);
 }
 
-void reward_caller::DropStep(const std::string& step) {
+void reward_caller::CancelStep(const std::string& step) {
   std::vector<task_key> ended;
   for (const auto& item : jobs_) {
     if (item.first.step == step) ended.push_back(item.first);
   }
-  for (const task_key& key : ended) Drop(key);
+  for (const task_key& key : ended) CancelTask(key);
 }
 
-void reward_caller::DropAll() {
+void reward_caller::CancelAll() {
   Suspend();
   jobs_.clear();
 }
--- a/packages/store/reward_caller.h
+++ b/packages/store/reward_caller.h
@@ -35,7 +35,7 @@
 
 enum class reward_end {
   kScored,
-  kGivenUp,  // the maximum number of failed answers was reached
+  kAbandoned,  // the maximum number of failed answers was reached
 };
 
 class reward_caller {
@@ -47,19 +47,20 @@
   // Called once with the outcome of a job. `score` is empty unless the outcome
   // is kScored.
   std::function<void(const task_key&, reward_end, const std::string& score)>
-      on_end;
+      on_finished;
   // Returns the number of tasks without a result in the group of a task.
   std::function<size_t(const task_key&)> open_in_group;
 
   void Add(reward_job job);
   // Sends the waiting requests that the limits allow now.
-  void Pump();
+  void SendWaiting();
   // Remove the jobs of a task, of a step, or all jobs, and cancel their
   // requests.
-  void Drop(const task_key& key);
-  void DropStep(const std::string& step);
-  void DropAll();
-  // Cancels the requests that are being sent. The next Pump() sends them again.
+  void CancelTask(const task_key& key);
+  void CancelStep(const std::string& step);
+  void CancelAll();
+  // Cancels the requests that are being sent. The next SendWaiting() sends them
+  // again.
   void Suspend();
 
   bool IsIdle() const { return jobs_.empty(); }
@@ -80,10 +81,11 @@
   const fleet::route* RouteOf(const reward_job& job) const;
   int64_t SlotsOf(const fleet::route& where) const;
   // Returns the number of requests that may be sent to the route now.
-  int64_t RoomAt(const fleet::route& where);
+  int64_t FreeSlotsAt(const fleet::route& where);
   void Start(const std::shared_ptr<job_state>& job, fleet::route where);
-  void End(const std::shared_ptr<job_state>& job, const fleet::route& where,
-           core::time_point started, const routing::send_outcome& outcome);
+  void FinishSend(const std::shared_ptr<job_state>& job,
+                  const fleet::route& where, core::time_point started,
+                  const routing::send_outcome& outcome);
   static void CancelSend(job_state& job);
 
   boost::asio::io_context& loop_;
--- a/tests/unit/store/reward_caller_test.cc
+++ b/tests/unit/store/reward_caller_test.cc
@@ -54,8 +54,8 @@
     where.max_attempts = kMostAttempts;
     view_.config.version = 1;
     view_.config.routes = {where};
-    caller_.on_end = [this](const task_key& key, reward_end how,
-                            const std::string& score) {
+    caller_.on_finished = [this](const task_key& key, reward_end how,
+                                 const std::string& score) {
       ended_[key.task] = how == reward_end::kScored ? score : "given up";
     };
     caller_.open_in_group = [this](const task_key& key) {
@@ -98,7 +98,7 @@
   bool RunUntil(const std::function<bool()>& is_done) {
     const core::time_point limit = std::chrono::steady_clock::now() + kLimit;
     while (!is_done() && std::chrono::steady_clock::now() < limit) {
-      caller_.Pump();
+      caller_.SendWaiting();
       loop_.restart();
       loop_.run_for(kTurn);
     }
@@ -224,7 +224,7 @@
   });
   for (uint32_t task = 0; task < kSlots; ++task) Add(task, "ended");
   ASSERT_TRUE(RunUntil([this] { return seen_.size() == kSlots / 2; }));
-  caller_.DropStep("ended");
+  caller_.CancelStep("ended");
   const size_t seen = seen_.size();
   Add(9, "other");
   EXPECT_TRUE(RunUntil([&] { return was_cut; }));
@@ -268,7 +268,7 @@
   const std::vector<fleet::route> routes = std::move(view_.config.routes);
   view_.config.routes.clear();
   Add(0);
-  caller_.Pump();
+  caller_.SendWaiting();
   loop_.run_for(kTurn);
   EXPECT_TRUE(seen_.empty());
   view_.config.routes = routes;
