--- a/packages/store/dispatcher.cc
+++ b/packages/store/dispatcher.cc
@@ -26,7 +26,7 @@
 
 // Bits of a run id that count the runs of one term. They suffice for some
 // thousand runs per second over weeks.
-constexpr int kRunBits = 40;
+constexpr int kRunNumberBits = 40;
 
 std::string Text(uint64_t number) { return std::to_string(number); }
 
@@ -49,7 +49,7 @@
       own_runs_(loop, clock, pool, wire),
       rewards_(loop, clock, sender, wire, view) {
   own_runs_.on_report = [this](run_report report) {
-    TakeReport(std::move(report));
+    ApplyReport(std::move(report));
   };
   rewards_.on_finished = [this](const task_key& key, reward_end how,
                                 const std::string& score) {
@@ -61,9 +61,9 @@
 }
 
 void dispatcher::Start() {
-  asio::co_spawn(loop_, KeepWatching(), asio::detached);
-  asio::co_spawn(loop_, KeepCommitting(), asio::detached);
-  asio::co_spawn(loop_, KeepProgress(), asio::detached);
+  asio::co_spawn(loop_, RunDispatchLoop(), asio::detached);
+  asio::co_spawn(loop_, RunResultCommitLoop(), asio::detached);
+  asio::co_spawn(loop_, RunProgressCommitLoop(), asio::detached);
 }
 
 void dispatcher::OnLeadership(bool is_leader) {
@@ -71,21 +71,21 @@
   if (!is_leader) {
     CancelAll();
     runners_->runners.clear();
-    orders_filled_.Notify();
+    has_new_orders_.Notify();
     rewards_.CancelAll();
     steps_.clear();
-    outbox_.clear();
+    uncommitted_results_.clear();
     demands_.clear();
     return;
   }
-  latest_run_ = group_.Term() << kRunBits;
+  latest_run_ = group_.Term() << kRunNumberBits;
   SyncSteps();
 }
 
 void dispatcher::OnApplied() {
   if (!is_leading_) return;
   SyncSteps();
-  SchedulePump();
+  ScheduleDispatch();
 }
 
 void dispatcher::OnView() {
@@ -99,32 +99,33 @@
   for (const fleet::engine_weights_entry& item : view_.weights) {
     if (known.count(item.incarnation) == 0) continue;
     engine_record& record = engines_[item.incarnation];
-    weights_at_engine& weights = record.weights[item.model];
+    engine_weights& weights = record.weights[item.model];
     // Loading weights discards the prompts that the engine has processed.
-    if (item.version > weights.version) ForgetPrompts(record, item.model);
+    if (item.version > weights.version) ClearPrompts(record, item.model);
     weights.version = std::max(weights.version, item.version);
     weights.is_loading = item.is_loading;
   }
-  EndRunsOfOlderStarts();
-  if (is_leading_) SchedulePump();
+  EndRunsOfOldIncarnations();
+  if (is_leading_) ScheduleDispatch();
 }
 
 // An engine that was restarted under the same name has lost its earlier runs.
 // Their connections may hang until they time out, so these runs are ended at
 // once and their tasks continue on other engines. An engine that is no longer
 // in the list, but has no newer incarnation, may still be finishing its runs.
-void dispatcher::EndRunsOfOlderStarts() {
-  std::map<std::string, std::string> newest;  // incarnation by name
+void dispatcher::EndRunsOfOldIncarnations() {
+  std::map<std::string, std::string>
+      latest_incarnations;  // incarnation by name
   for (const fleet::endpoint& item : view_.endpoints) {
-    newest[item.name] = item.incarnation;
+    latest_incarnations[item.name] = item.incarnation;
   }
   std::vector<std::shared_ptr<run>> ending;
   for (const auto& item : runs_) {
     const fleet::endpoint& engine = item.second->engine;
-    const auto found = newest.find(engine.name);
-    const bool is_older =
-        found != newest.end() && found->second != engine.incarnation;
-    if (is_older) ending.push_back(item.second);
+    const auto found = latest_incarnations.find(engine.name);
+    const bool is_old_incarnation = found != latest_incarnations.end() &&
+                                    found->second != engine.incarnation;
+    if (is_old_incarnation) ending.push_back(item.second);
   }
   for (const auto& item : ending) {
     StopRun(*item);
@@ -132,23 +133,23 @@
   }
 }
 
-awaitable<void> dispatcher::KeepWatching() {
+awaitable<void> dispatcher::RunDispatchLoop() {
   for (;;) {
-    co_await wake_.WaitUntil(clock_.Now() + (steps_.empty()
-                                                 ? milliseconds(1000)
-                                                 : kTaskCheckPeriod));
+    co_await step_added_.WaitUntil(clock_.Now() + (steps_.empty()
+                                                       ? milliseconds(1000)
+                                                       : kTaskCheckPeriod));
     if (!is_leading_) continue;
     if (!group_.IsServing()) {
       CancelAll();
       continue;
     }
-    NoteDemands();
-    GiveUpOld();
+    UpdateDemands();
+    FailExpiredTasks();
     own_runs_.EndStalled();
-    LoseSilentRunners();
+    HandleUnreachableRunners();
     MoveStragglers();
-    ForgetOldGroups();
-    Pump();
+    RemoveExpiredPrompts();
+    DispatchTasks();
   }
 }
 
@@ -159,7 +160,7 @@
     const bool is_open =
         !where.is_ended && where.results.size() < where.input.tasks.size();
     const bool is_known = steps_.count(id) != 0;
-    if (is_open && !is_known) StartStep(id, where);
+    if (is_open && !is_known) TrackStep(id, where);
     if (!is_open && is_known) {
       CancelRuns(id);
       rewards_.CancelStep(id);
@@ -167,30 +168,30 @@
     }
   }
   std::erase_if(steps_, [this](const auto& item) {
-    const bool is_forgotten = state_.Steps().count(item.first) == 0;
-    if (is_forgotten) rewards_.CancelStep(item.first);
-    return is_forgotten;
+    const bool is_removed = state_.Steps().count(item.first) == 0;
+    if (is_removed) rewards_.CancelStep(item.first);
+    return is_removed;
   });
 }
 
-void dispatcher::StartStep(const std::string& id, const steps::step& where) {
-  step_run& fresh = steps_[id];
+void dispatcher::TrackStep(const std::string& id, const steps::step& where) {
+  tracked_step& fresh = steps_[id];
   const milliseconds age(std::max<int64_t>(
       0, core::ToUnixMillis(clock_.WallNow()) - where.opened_ms));
   fresh.opened_at = clock_.Now() - age;
   fresh.tasks.resize(where.input.tasks.size());
   for (const steps::task& task : where.input.tasks) {
-    fresh.expected.push_back(task.request ? wire_.ExpectedTokens(*task.request)
-                                          : 0);
+    fresh.expected_tokens.push_back(
+        task.request ? wire_.ExpectedTokens(*task.request) : 0);
   }
-  fresh.order = steps::OrderTasks(fresh.expected);
+  fresh.order = steps::OrderTasks(fresh.expected_tokens);
   for (const steps::task_result& result : where.results) {
     fresh.tasks[result.task].stage = task_stage::kDone;
   }
   for (const auto& [task, text] : where.progress) {
     fresh.tasks[task].text = text;
     fresh.tasks[task].committed_events = text.events;
-    fresh.tasks[task].is_whole_committed = text.is_whole;
+    fresh.tasks[task].is_complete_text_committed = text.is_whole;
   }
   fresh.open_tasks = where.input.tasks.size() - where.results.size();
   for (uint32_t i = 0; i < fresh.tasks.size(); ++i) {
@@ -207,9 +208,9 @@
             {"age_ms", std::to_string(age.count())}});
   for (const auto& [task, text] : where.progress) {
     const bool is_open = fresh.tasks[task].stage == task_stage::kWaiting;
-    if (is_open && text.is_whole) TakeWholeText({id, task});
+    if (is_open && text.is_whole) HandleCompleteText({id, task});
   }
-  wake_.Notify();
+  step_added_.Notify();
 }
 
 std::vector<std::string> dispatcher::StepsByAge() const {
@@ -223,7 +224,7 @@
   return ids;
 }
 
-dispatcher::task_run* dispatcher::FindTask(const task_key& key) {
+dispatcher::tracked_task* dispatcher::FindTask(const task_key& key) {
   const auto found = steps_.find(key.step);
   if (found == steps_.end()) return nullptr;
   return &found->second.tasks.at(key.task);
@@ -257,54 +258,54 @@
 
 // Posts one pass for all handlers that the loop has ready now, because the end
 // of a run, a commit and a change of an engine often occur together.
-void dispatcher::SchedulePump() {
-  if (is_pump_scheduled_) return;
-  is_pump_scheduled_ = true;
+void dispatcher::ScheduleDispatch() {
+  if (is_dispatch_scheduled_) return;
+  is_dispatch_scheduled_ = true;
   asio::post(loop_, [this] {
-    is_pump_scheduled_ = false;
-    Pump();
+    is_dispatch_scheduled_ = false;
+    DispatchTasks();
   });
 }
 
-void dispatcher::Pump() {
+void dispatcher::DispatchTasks() {
   if (!is_leading_ || !group_.IsServing()) return;
   dispatch_pass pass;
-  pass.starting = Starting();
+  pass.starting = CountStartingRuns();
   for (const std::string& id : StepsByAge()) {
-    PumpStep(id, steps_.at(id), pass);
+    DispatchStep(id, steps_.at(id), pass);
   }
   rewards_.SendWaiting();
 }
 
 // Number of runs on this store whose engine has not sent a response head yet.
-size_t dispatcher::Starting() const {
+size_t dispatcher::CountStartingRuns() const {
   return static_cast<size_t>(
       std::count_if(runs_.begin(), runs_.end(), [](const auto& item) {
         return item.second->runner.empty() && !item.second->has_head;
       }));
 }
 
-void dispatcher::PumpStep(const std::string& id, step_run& where,
-                          dispatch_pass& pass) {
+void dispatcher::DispatchStep(const std::string& id, tracked_step& where,
+                              dispatch_pass& pass) {
   const auto found = state_.Steps().find(id);
   if (found == state_.Steps().end()) return;
   const steps::step& step = found->second;
   const time_point now = clock_.Now();
   for (const uint32_t i : where.order) {
-    task_run& task = where.tasks[i];
+    tracked_task& task = where.tasks[i];
     if (task.stage != task_stage::kWaiting || task.not_before > now) continue;
-    if (IsHeldBack({id, i}, task)) continue;
+    if (MustWaitForQuarantine({id, i}, task)) continue;
     // The remaining tasks start when engines respond to the runs that are
     // starting.
-    if (!RunnerFor("", pass)) return;
+    if (!ChooseRunnerFor("", pass)) return;
     candidate item;
     item.key = {id, i};
     item.step = &step;
     item.input = RequestOf(item.key);
     item.terms = RouteOf(item.key);
     if (item.input == nullptr || item.terms == nullptr) continue;
-    const int64_t longest = where.expected[where.order.front()];
-    item.is_long = steps::IsLong(where.expected[i], longest);
+    const int64_t longest = where.expected_tokens[where.order.front()];
+    item.is_long = steps::IsLong(where.expected_tokens[i], longest);
     if (!TryStart(item, pass)) return;
   }
 }
@@ -320,7 +321,7 @@
   auto pool = pass.pools.find(key);
   if (pool == pass.pools.end()) {
     engine_pool fresh =
-        GatherEngines(service, input.model, input.minimum_version);
+        CollectEngines(service, input.model, input.minimum_version);
     pool = pass.pools.emplace(key, std::move(fresh)).first;
   }
   const std::string group =
@@ -331,14 +332,15 @@
     engines.loads[i].running = record.running;
     engines.loads[i].has_prompt = record.groups.count(group) != 0;
   }
-  const int64_t places = PlacesFor(item, engines);
-  const std::string& left = steps_.at(item.key.step).tasks[item.key.task].left;
-  auto choice = steps::ChooseEngine(engines.loads, places, left);
+  const int64_t max_streams = MaxStreamsFor(item, engines);
+  const std::string& left_engine =
+      steps_.at(item.key.step).tasks[item.key.task].left_engine;
+  auto choice = steps::ChooseEngine(engines.loads, max_streams, left_engine);
   // No other engine has a free slot, so allow the engine that the task left.
-  if (!choice) choice = steps::ChooseEngine(engines.loads, places);
+  if (!choice) choice = steps::ChooseEngine(engines.loads, max_streams);
   if (!choice) return false;
   const fleet::endpoint& engine = *engines.endpoints[*choice];
-  const std::optional<std::string> runner = RunnerFor(engine.zone, pass);
+  const std::optional<std::string> runner = ChooseRunnerFor(engine.zone, pass);
   if (!runner) return false;
   if (runner->empty()) ++pass.starting;
   engines_[engine.incarnation].groups[group] = clock_.Now();
@@ -346,10 +348,10 @@
   return true;
 }
 
-std::optional<std::string> dispatcher::RunnerFor(
+std::optional<std::string> dispatcher::ChooseRunnerFor(
     const std::string& zone, const dispatch_pass& pass) const {
-  const bool is_own_busy = runs_.size() >= kMaxOwnRuns;
-  if (is_own_busy) {
+  const bool is_own_limit_reached = runs_.size() >= kMaxOwnRuns;
+  if (is_own_limit_reached) {
     auto other = ChooseRunner(*runners_, zone, clock_.Now());
     if (other) return other;
   }
@@ -360,8 +362,8 @@
 
 // Returns the number of streams on an engine below which the task may be
 // started there.
-int64_t dispatcher::PlacesFor(const candidate& item,
-                              const engine_pool& pool) const {
+int64_t dispatcher::MaxStreamsFor(const candidate& item,
+                                  const engine_pool& pool) const {
   int64_t slots = 0;
   size_t engines = 0;
   for (const steps::engine_load& load : pool.loads) {
@@ -369,28 +371,29 @@
     if (load.slots > 0) ++engines;
   }
   if (item.is_long) return slots;
-  const step_run& step = steps_.at(item.key.step);
+  const tracked_step& step = steps_.at(item.key.step);
   const auto pace = paces_.find(item.step->input.model);
   if (pace == paces_.end()) return slots;
   steps::waiting_work work;
   for (const steps::engine_load& load : pool.loads) work.others += load.running;
-  int64_t expected = 0;
-  const int64_t longest = step.expected[step.order.front()];
+  int64_t expected_tokens = 0;
+  const int64_t longest = step.expected_tokens[step.order.front()];
   for (size_t i = 0; i < step.tasks.size(); ++i) {
     const task_stage stage = step.tasks[i].stage;
-    if (stage == task_stage::kWaiting) expected += step.expected[i];
-    const bool is_short = !steps::IsLong(step.expected[i], longest);
+    if (stage == task_stage::kWaiting)
+      expected_tokens += step.expected_tokens[i];
+    const bool is_short = !steps::IsLong(step.expected_tokens[i], longest);
     if (stage == task_stage::kRunning && is_short) --work.others;
   }
-  work.runs = steps::ExpectedTime(pace->second, expected);
+  work.runs = steps::ExpectedTime(pace->second, expected_tokens);
   work.age = clock_.Now() - step.opened_at;
   work.due = milliseconds(item.terms->due_ms);
   return steps::PlacesForShortTasks(work, engines, slots);
 }
 
-dispatcher::engine_pool dispatcher::GatherEngines(const std::string& service,
-                                                  const std::string& model,
-                                                  uint64_t minimum_version) {
+dispatcher::engine_pool dispatcher::CollectEngines(const std::string& service,
+                                                   const std::string& model,
+                                                   uint64_t minimum_version) {
   const time_point now = clock_.Now();
   engine_pool pool;
   std::vector<double> gaps;
@@ -422,8 +425,7 @@
   return pool;
 }
 
-void dispatcher::ForgetPrompts(engine_record& record,
-                               const std::string& model) {
+void dispatcher::ClearPrompts(engine_record& record, const std::string& model) {
   std::erase_if(record.groups, [&model](const auto& item) {
     return item.first.starts_with(model + "/");
   });
@@ -431,7 +433,7 @@
 
 // Removes groups without a recent task. The engine has probably evicted their
 // prompts, and the list would grow with every step.
-void dispatcher::ForgetOldGroups() {
+void dispatcher::RemoveExpiredPrompts() {
   const time_point now = clock_.Now();
   for (auto& [incarnation, record] : engines_) {
     std::erase_if(record.groups, [now](const auto& item) {
--- a/packages/store/dispatcher.h
+++ b/packages/store/dispatcher.h
@@ -77,28 +77,28 @@
 
   // The state of a task in the memory of this leader; only the text is
   // committed.
-  struct task_run {
+  struct tracked_task {
     task_stage stage = task_stage::kWaiting;
     steps::generated_text text;
     int64_t failures = 0;  // answers that count as a failed attempt
     core::time_point not_before{};
     int moves = 0;                  // away from slow engines
-    std::string left;               // engine that the last move took it from
+    std::string left_engine;        // engine that the last move took it from
     uint64_t committed_events = 0;  // events of `text` that are committed
-    bool is_whole_committed = false;
-    core::time_point whole_at{};
+    bool is_complete_text_committed = false;
+    core::time_point completed_at{};
     std::string digest;  // of the request; computed when first needed
-    bool is_held_back = false;
+    bool is_waiting_for_quarantine = false;
   };
-  struct step_run {
-    std::vector<task_run> tasks;
-    std::vector<int64_t> expected;  // tokens of each task; 0: unknown
-    std::vector<uint32_t> order;    // task indexes in the order of starting
+  struct tracked_step {
+    std::vector<tracked_task> tasks;
+    std::vector<int64_t> expected_tokens;  // tokens of each task; 0: unknown
+    std::vector<uint32_t> order;  // task indexes in the order of starting
     core::time_point opened_at{};
     size_t open_tasks = 0;  // tasks without a result at the start
     std::map<std::string, size_t> open_by_group;
   };
-  struct weights_at_engine {
+  struct engine_weights {
     uint64_t version = 0;
     bool is_loading = false;
   };
@@ -111,7 +111,7 @@
     // Groups whose prompt the engine has processed, with the start of the last
     // task of each.
     std::map<std::string, core::time_point> groups;
-    std::map<std::string, weights_at_engine> weights;  // by model
+    std::map<std::string, engine_weights> weights;  // by model
   };
   struct run {
     uint64_t id = 0;
@@ -121,8 +121,9 @@
     std::string runner;  // peer address of its store; empty: this store
     uint64_t events_at_start = 0;
     core::time_point started_at{};
-    bool has_head = false;        // the engine has sent the response head
-    core::time_point heard_at{};  // time of the last report or of the start
+    bool has_head = false;  // the engine has sent the response head
+    core::time_point
+        last_report_at{};  // time of the last report or of the start
   };
   // The engines that may run the tasks of a step, with their state.
   struct engine_pool {
@@ -141,65 +142,68 @@
     const fleet::route* terms = nullptr;
   };
 
-  boost::asio::awaitable<void> KeepWatching();
-  boost::asio::awaitable<void> KeepCommitting();
-  boost::asio::awaitable<void> KeepProgress();
+  boost::asio::awaitable<void> RunDispatchLoop();
+  boost::asio::awaitable<void> RunResultCommitLoop();
+  boost::asio::awaitable<void> RunProgressCommitLoop();
   add_progress_command CollectProgress();
-  bool IsWorthCommitting(const task_run& task) const;
+  bool NeedsProgressCommit(const tracked_task& task) const;
   // One pass over the waiting tasks. The state of the engines is collected once
   // per pass. Collecting it for each task took most of the leader's CPU time
   // with 48 engines.
   struct dispatch_pass;
 
   void SyncSteps();
-  void StartStep(const std::string& id, const steps::step& where);
-  void SchedulePump();
-  void Pump();
-  size_t Starting() const;
-  void PumpStep(const std::string& id, step_run& where, dispatch_pass& pass);
+  void TrackStep(const std::string& id, const steps::step& where);
+  void ScheduleDispatch();
+  void DispatchTasks();
+  size_t CountStartingRuns() const;
+  void DispatchStep(const std::string& id, tracked_step& where,
+                    dispatch_pass& pass);
   bool TryStart(const candidate& item, dispatch_pass& pass);
-  int64_t PlacesFor(const candidate& item, const engine_pool& pool) const;
-  engine_pool GatherEngines(const std::string& service,
-                            const std::string& model, uint64_t minimum_version);
+  int64_t MaxStreamsFor(const candidate& item, const engine_pool& pool) const;
+  engine_pool CollectEngines(const std::string& service,
+                             const std::string& model,
+                             uint64_t minimum_version);
   // Chooses the store for a run at an engine of `zone`: its peer address, or an
   // empty string for this store. No value if no store can start a run now.
-  std::optional<std::string> RunnerFor(const std::string& zone,
-                                       const dispatch_pass& pass) const;
+  std::optional<std::string> ChooseRunnerFor(const std::string& zone,
+                                             const dispatch_pass& pass) const;
   void StartRun(const candidate& item, const fleet::endpoint& engine,
                 const std::string& runner);
   run_order MakeOrder(const candidate& item, const run& self) const;
-  boost::asio::awaitable<peering::envelope> TakeOrdersRequest(
+  boost::asio::awaitable<peering::envelope> HandleOrdersRequest(
       std::string payload);
-  peering::envelope TakeReportsRequest(const std::string& payload);
-  void TakeReport(run_report report);
-  void NoteHead(run& self, uint64_t weights_version);
+  peering::envelope HandleReportsRequest(const std::string& payload);
+  void ApplyReport(run_report report);
+  void RecordResponseHead(run& self, uint64_t weights_version);
   // Removes a run from the maps. Its later reports are ignored.
-  void Forget(const run& ended);
+  void RemoveRun(const run& ended);
   void StopRun(const run& ending);
-  void LoseRuns(const std::string& runner, const std::vector<uint64_t>& runs);
-  void LoseSilentRunners();
+  void RescheduleLostRuns(const std::string& runner,
+                          const std::vector<uint64_t>& runs);
+  void HandleUnreachableRunners();
   void EndRun(const std::shared_ptr<run>& ended, run_end how);
-  void NoteEngine(const std::string& incarnation, run_end how);
+  void RecordEngineOutcome(const std::string& incarnation, run_end how);
   void NoteBroken(const run& ended);
   void NoteServed(const task_key& key);
   // Whether the request of the task is quarantined because engines crashed
   // while they ran it. Such a task must wait.
-  bool IsHeldBack(const task_key& key, task_run& task);
+  bool MustWaitForQuarantine(const task_key& key, tracked_task& task);
   // Called when the text of a task is complete. Requests the score, or finishes
   // the task if it has no reward request.
-  void TakeWholeText(const task_key& key);
+  void HandleCompleteText(const task_key& key);
   void OnScored(const task_key& key, reward_end how, const std::string& score);
   size_t OpenInGroup(const task_key& key);
   void Finish(const task_key& key, bool is_complete, std::string score = "");
-  void NoteDemands();
-  void GiveUpOld();
-  void ForgetOldGroups();
-  static void ForgetPrompts(engine_record& record, const std::string& model);
-  void EndRunsOfOlderStarts();
+  void UpdateDemands();
+  void FailExpiredTasks();
+  void RemoveExpiredPrompts();
+  static void ClearPrompts(engine_record& record, const std::string& model);
+  void EndRunsOfOldIncarnations();
   void MoveStragglers();
   void CancelRuns(const std::string& step);
   void CancelAll();
-  task_run* FindTask(const task_key& key);
+  tracked_task* FindTask(const task_key& key);
   const steps::task_request* RequestOf(const task_key& key) const;
   std::optional<quarantine::request_identity> IdentityOf(
       const task_key& key) const;
@@ -215,8 +219,8 @@
   const fleet::protocol& wire_;
   const fleet::view& view_;
   bool is_leading_ = false;
-  bool is_pump_scheduled_ = false;
-  std::map<std::string, step_run> steps_;
+  bool is_dispatch_scheduled_ = false;
+  std::map<std::string, tracked_step> steps_;
   std::map<std::string, engine_record> engines_;  // by incarnation
   std::map<task_key, std::shared_ptr<run>> runs_;
   std::map<uint64_t, std::shared_ptr<run>> runs_by_id_;
@@ -227,10 +231,10 @@
   // Shared with the coroutines of waiting polls. When the process ends, their
   // frames are destroyed after this object.
   std::shared_ptr<runner_book> runners_ = std::make_shared<runner_book>();
-  net::event orders_filled_;
-  std::vector<step_results> outbox_;
-  net::event outbox_filled_;
-  net::event wake_;
+  net::event has_new_orders_;
+  std::vector<step_results> uncommitted_results_;
+  net::event has_uncommitted_results_;
+  net::event step_added_;
   std::map<std::string, steps::run_pace> paces_;  // by model
   std::map<std::string, double> demands_;  // mean number of streams, by model
   core::time_point demands_at_{};
--- a/packages/store/dispatcher_results.cc
+++ b/packages/store/dispatcher_results.cc
@@ -26,8 +26,8 @@
 
 // The reward request is sent only now, after the last event of the text. A
 // score of an incomplete text would not belong to the text in the result.
-void dispatcher::TakeWholeText(const task_key& key) {
-  task_run* const task = FindTask(key);
+void dispatcher::HandleCompleteText(const task_key& key) {
+  tracked_task* const task = FindTask(key);
   const steps::task_request* const input = RequestOf(key);
   if (task == nullptr || input == nullptr) return;
   task->text.is_whole = true;
@@ -36,15 +36,15 @@
     return;
   }
   task->stage = task_stage::kScoring;
-  task->whole_at = clock_.Now();
+  task->completed_at = clock_.Now();
   rewards_.Add({key, input->reward, steps_.at(key.step).opened_at});
-  SchedulePump();
+  ScheduleDispatch();
 }
 
 void dispatcher::OnScored(const task_key& key, reward_end how,
                           const std::string& score) {
   Finish(key, how == reward_end::kScored, score);
-  SchedulePump();
+  ScheduleDispatch();
 }
 
 size_t dispatcher::OpenInGroup(const task_key& key) {
@@ -56,7 +56,7 @@
 
 void dispatcher::Finish(const task_key& key, bool is_complete,
                         std::string score) {
-  task_run* const task = FindTask(key);
+  tracked_task* const task = FindTask(key);
   if (task == nullptr || task->stage == task_stage::kDone) return;
   task->stage = task_stage::kDone;
   rewards_.CancelTask(key);
@@ -77,21 +77,21 @@
               {"failures", std::to_string(task->failures)}});
   }
   task->text = steps::generated_text{};
-  outbox_.push_back({key.step, {std::move(result)}});
-  outbox_filled_.Notify();
+  uncommitted_results_.push_back({key.step, {std::move(result)}});
+  has_uncommitted_results_.Notify();
 }
 
 // Commits all results that were queued during the previous commit in one batch,
 // so that the rate of disk syncs does not grow with the rate of results.
-awaitable<void> dispatcher::KeepCommitting() {
+awaitable<void> dispatcher::RunResultCommitLoop() {
   for (;;) {
-    if (outbox_.empty()) {
-      co_await outbox_filled_.WaitUntil(time_point::max());
+    if (uncommitted_results_.empty()) {
+      co_await has_uncommitted_results_.WaitUntil(time_point::max());
       continue;
     }
     add_results_command batch;
-    batch.steps = std::move(outbox_);
-    outbox_.clear();
+    batch.steps = std::move(uncommitted_results_);
+    uncommitted_results_.clear();
     const auto result =
         co_await group_.Commit(kAddResultsCommand, core::EncodeBinary(batch));
     if (result.is_committed) continue;
@@ -101,7 +101,8 @@
     // The lease may be renewed late for a moment while this replica still
     // leads.
     if (is_leading_ && !result.was_proposed) {
-      outbox_.insert(outbox_.begin(), batch.steps.begin(), batch.steps.end());
+      uncommitted_results_.insert(uncommitted_results_.begin(),
+                                  batch.steps.begin(), batch.steps.end());
       co_await net::Sleep(kRetryPause);
     }
   }
@@ -110,12 +111,13 @@
 // The text of a running task is committed when it has enough new events. A
 // complete text is committed alone only if its score takes long. Most scores
 // arrive earlier, and the text is committed with its score in one command.
-bool dispatcher::IsWorthCommitting(const task_run& task) const {
+bool dispatcher::NeedsProgressCommit(const tracked_task& task) const {
   if (task.stage == task_stage::kRunning) {
     return task.text.events >= task.committed_events + kMinEventsToCommit;
   }
-  return task.stage == task_stage::kScoring && !task.is_whole_committed &&
-         clock_.Now() - task.whole_at >= kScoringCommitDelay;
+  return task.stage == task_stage::kScoring &&
+         !task.is_complete_text_committed &&
+         clock_.Now() - task.completed_at >= kScoringCommitDelay;
 }
 
 // Collects the text that tasks have gained since their last commit, for the
@@ -126,21 +128,21 @@
     step_progress progress;
     progress.step = id;
     for (uint32_t i = 0; i < where.tasks.size(); ++i) {
-      task_run& task = where.tasks[i];
-      if (!IsWorthCommitting(task)) continue;
+      tracked_task& task = where.tasks[i];
+      if (!NeedsProgressCommit(task)) continue;
       const uint64_t from = task.committed_events;
-      steps::task_progress gained;
-      gained.task = i;
-      gained.after = from;
-      gained.text.events = task.text.events;
-      gained.text.versions = task.text.versions;
-      gained.text.is_whole = task.text.is_whole;
-      gained.text.data.assign(
+      steps::task_progress added;
+      added.task = i;
+      added.after = from;
+      added.text.events = task.text.events;
+      added.text.versions = task.text.versions;
+      added.text.is_whole = task.text.is_whole;
+      added.text.data.assign(
           task.text.data.begin() + static_cast<ptrdiff_t>(from),
           task.text.data.end());
       task.committed_events = task.text.events;
-      task.is_whole_committed = task.text.is_whole;
-      progress.tasks.push_back(std::move(gained));
+      task.is_complete_text_committed = task.text.is_whole;
+      progress.tasks.push_back(std::move(added));
     }
     if (!progress.tasks.empty()) command.steps.push_back(std::move(progress));
   }
@@ -151,7 +153,7 @@
 // generate about a second of it again and not all. A failed commit needs no
 // retry: it fails when leadership is lost, and the new leader has the text of
 // the earlier commits.
-awaitable<void> dispatcher::KeepProgress() {
+awaitable<void> dispatcher::RunProgressCommitLoop() {
   for (;;) {
     co_await net::Sleep(kProgressCommitPeriod);
     const bool has_work = !runs_.empty() || !rewards_.IsIdle();
@@ -165,7 +167,7 @@
 // --- Periodic checks and cancellation of runs.
 
 // Updates the moving average of the number of streams of each model.
-void dispatcher::NoteDemands() {
+void dispatcher::UpdateDemands() {
   const time_point now = clock_.Now();
   const std::chrono::duration<double> passed = now - demands_at_;
   const double share = std::min(1.0, passed / kDemandSmoothingTime);
@@ -188,7 +190,7 @@
   return list;
 }
 
-void dispatcher::GiveUpOld() {
+void dispatcher::FailExpiredTasks() {
   const time_point now = clock_.Now();
   for (auto& [id, where] : steps_) {
     for (uint32_t i = 0; i < where.tasks.size(); ++i) {
@@ -202,7 +204,7 @@
       if (running != runs_.end()) {
         const std::shared_ptr<run> ending = running->second;
         StopRun(*ending);
-        Forget(*ending);
+        RemoveRun(*ending);
       }
       Finish({id, i}, false);
     }
@@ -217,7 +219,7 @@
   for (const auto& [key, item] : runs_) {
     const bool is_settled =
         clock_.Now() - item->started_at >= kMinRunTimeBeforeMove;
-    const task_run* task = FindTask(key);
+    const tracked_task* task = FindTask(key);
     if (!is_settled || task == nullptr || task->moves >= kMaxMovesPerTask)
       continue;
     const auto step = state_.Steps().find(key.step);
@@ -225,8 +227,8 @@
     auto pool = by_step.find(key.step);
     if (pool == by_step.end()) {
       engine_pool fresh =
-          GatherEngines(item->engine.service, step->second.input.model,
-                        step->second.input.minimum_version);
+          CollectEngines(item->engine.service, step->second.input.model,
+                         step->second.input.minimum_version);
       pool = by_step.emplace(key.step, std::move(fresh)).first;
     }
     const std::vector<steps::engine_load>& loads = pool->second.loads;
@@ -239,9 +241,9 @@
     if (steps::IsWorthMoving(*own, loads)) moving.push_back(item);
   }
   for (const auto& item : moving) {
-    if (task_run* const task = FindTask(item->key)) {
+    if (tracked_task* const task = FindTask(item->key)) {
       ++task->moves;
-      task->left = item->engine.incarnation;
+      task->left_engine = item->engine.incarnation;
     }
     StopRun(*item);
     EndRun(item, run_end::kMoved);
@@ -255,7 +257,7 @@
   }
   for (const auto& item : ending) {
     StopRun(*item);
-    Forget(*item);
+    RemoveRun(*item);
   }
 }
 
@@ -263,11 +265,11 @@
   rewards_.Suspend();
   const std::map<task_key, std::shared_ptr<run>> ending = runs_;
   for (const auto& [key, item] : ending) {
-    if (task_run* const task = FindTask(key)) {
+    if (tracked_task* const task = FindTask(key)) {
       task->stage = task_stage::kWaiting;
     }
     StopRun(*item);
-    Forget(*item);
+    RemoveRun(*item);
   }
 }
 
--- a/packages/store/dispatcher_runs.cc
+++ b/packages/store/dispatcher_runs.cc
@@ -24,7 +24,7 @@
 
 void dispatcher::StartRun(const candidate& item, const fleet::endpoint& engine,
                           const std::string& runner) {
-  task_run& task = *FindTask(item.key);
+  tracked_task& task = *FindTask(item.key);
   task.stage = task_stage::kRunning;
   ++engines_[engine.incarnation].running;
   const steps::submission& step = item.step->input;
@@ -36,7 +36,7 @@
   self->runner = runner;
   self->events_at_start = task.text.events;
   self->started_at = clock_.Now();
-  self->heard_at = self->started_at;
+  self->last_report_at = self->started_at;
   runs_[item.key] = self;
   runs_by_id_[self->id] = self;
   LogEvent(
@@ -48,7 +48,8 @@
        {"after_event", Text(task.text.events)},
        {"failures", std::to_string(task.failures)},
        {"expected",
-        std::to_string(steps_.at(item.key.step).expected[item.key.task])},
+        std::to_string(
+            steps_.at(item.key.step).expected_tokens[item.key.task])},
        {"in_batch", std::to_string(engines_[engine.incarnation].running)}});
   run_order order = MakeOrder(item, *self);
   if (runner.empty()) {
@@ -56,7 +57,7 @@
     return;
   }
   AddOrder(*runners_, runner, std::move(order));
-  orders_filled_.Notify();
+  has_new_orders_.Notify();
 }
 
 run_order dispatcher::MakeOrder(const candidate& item, const run& self) const {
@@ -89,34 +90,34 @@
                                                       std::string payload) {
   if (!is_leading_ || !group_.IsServing()) co_return group::NotLeader(group_);
   if (method == peering::kTakeOrdersMethod) {
-    co_return co_await TakeOrdersRequest(std::move(payload));
+    co_return co_await HandleOrdersRequest(std::move(payload));
   }
-  co_return TakeReportsRequest(payload);
+  co_return HandleReportsRequest(payload);
 }
 
 namespace {
 
 // Records in the registry that a poll ended without an answer, because the
 // runner closed the connection.
-class open_question {
+class open_poll {
  public:
-  open_question(std::shared_ptr<runner_book> book, const orders_request& input,
-                const core::runtime_clock& clock)
-      : book_(std::move(book)),
+  open_poll(std::shared_ptr<runner_book> registry, const orders_request& input,
+            const core::runtime_clock& clock)
+      : registry_(std::move(registry)),
         runner_(input.runner),
         session_(input.session),
         clock_(clock) {}
-  ~open_question() {
+  ~open_poll() {
     if (!is_answered_)
-      RecordAbandonedPoll(*book_, runner_, session_, clock_.Now());
+      RecordAbandonedPoll(*registry_, runner_, session_, clock_.Now());
   }
-  open_question(const open_question&) = delete;
-  open_question& operator=(const open_question&) = delete;
+  open_poll(const open_poll&) = delete;
+  open_poll& operator=(const open_poll&) = delete;
 
   void Close() { is_answered_ = true; }
 
  private:
-  const std::shared_ptr<runner_book> book_;
+  const std::shared_ptr<runner_book> registry_;
   const std::string runner_;
   const std::string session_;
   const core::runtime_clock& clock_;
@@ -125,15 +126,15 @@
 
 }  // namespace
 
-awaitable<peering::envelope> dispatcher::TakeOrdersRequest(
+awaitable<peering::envelope> dispatcher::HandleOrdersRequest(
     std::string payload) {
   const auto input = core::DecodeBinary<orders_request>(payload);
   if (!input) co_return group::Malformed();
   // This store sent the poll before it became the leader itself.
   if (input->runner == group_.OwnAddress()) co_return peering::envelope{};
-  LoseRuns(input->runner, ApplyPoll(*runners_, *input, clock_.Now()));
-  SchedulePump();
-  open_question asked(runners_, *input, clock_);
+  RescheduleLostRuns(input->runner, ApplyPoll(*runners_, *input, clock_.Now()));
+  ScheduleDispatch();
+  open_poll poll(runners_, *input, clock_);
   const milliseconds wait =
       std::min(milliseconds(input->wait_ms), kIdlePollWait);
   const time_point until = clock_.Now() + wait;
@@ -142,9 +143,9 @@
   };
   while (is_known() && !HasOrders(*runners_, input->runner) &&
          clock_.Now() < until) {
-    co_await orders_filled_.WaitUntil(until);
+    co_await has_new_orders_.WaitUntil(until);
   }
-  asked.Close();
+  poll.Close();
   // Leadership or the lease may have ended while the poll waited. If the
   // registry was cleared meanwhile, the next poll adds the runner to it again.
   if (!is_known() || !group_.IsServing()) co_return group::NotLeader(group_);
@@ -153,7 +154,7 @@
   co_return group::Done(core::EncodeBinary(answer));
 }
 
-peering::envelope dispatcher::TakeReportsRequest(const std::string& payload) {
+peering::envelope dispatcher::HandleReportsRequest(const std::string& payload) {
   auto input = core::DecodeBinary<reports_request>(payload);
   if (!input) return group::Malformed();
   if (!HasSession(*runners_, input->runner, input->session)) {
@@ -161,13 +162,13 @@
   }
   // Repeated reports are acknowledged again but applied only once.
   if (AcceptReports(*runners_, *input, group_.Term(), clock_.Now())) {
-    for (run_report& report : input->reports) TakeReport(std::move(report));
+    for (run_report& report : input->reports) ApplyReport(std::move(report));
   }
   return group::Done();
 }
 
-void dispatcher::LoseRuns(const std::string& runner,
-                          const std::vector<uint64_t>& runs) {
+void dispatcher::RescheduleLostRuns(const std::string& runner,
+                                    const std::vector<uint64_t>& runs) {
   if (runs.empty()) return;
   LogEvent(event_id::kRunnerLost,
            {{"runner", runner}, {"runs", std::to_string(runs.size())}});
@@ -179,35 +180,35 @@
   }
 }
 
-void dispatcher::LoseSilentRunners() {
+void dispatcher::HandleUnreachableRunners() {
   const time_point now = clock_.Now();
   for (const auto& [runner, runs] : RemoveUnreachable(*runners_, now)) {
-    LoseRuns(runner, runs);
+    RescheduleLostRuns(runner, runs);
   }
-  std::vector<std::shared_ptr<run>> quiet;
+  std::vector<std::shared_ptr<run>> overdue;
   for (const auto& item : runs_) {
     const run& one = *item.second;
-    const bool is_quiet =
-        !one.runner.empty() && now - one.heard_at > kRunReportTimeout;
-    if (is_quiet) quiet.push_back(item.second);
+    const bool is_overdue =
+        !one.runner.empty() && now - one.last_report_at > kRunReportTimeout;
+    if (is_overdue) overdue.push_back(item.second);
   }
-  for (const auto& item : quiet) {
+  for (const auto& item : overdue) {
     StopRun(*item);
-    LoseRuns(item->runner, {item->id});
+    RescheduleLostRuns(item->runner, {item->id});
   }
 }
 
 // --- Reports and outcomes of runs.
 
-void dispatcher::TakeReport(run_report report) {
+void dispatcher::ApplyReport(run_report report) {
   const auto found = runs_by_id_.find(report.run);
   if (found == runs_by_id_.end()) return;
   const std::shared_ptr<run> self = found->second;
-  task_run* const task = FindTask(self->key);
+  tracked_task* const task = FindTask(self->key);
   if (task == nullptr) return;
-  self->heard_at = clock_.Now();
+  self->last_report_at = clock_.Now();
   if (report.has_head && !self->has_head) {
-    NoteHead(*self, report.weights_version);
+    RecordResponseHead(*self, report.weights_version);
   }
   steps::generated_text& text = task->text;
   text.events += report.data.size();
@@ -218,18 +219,18 @@
   if (report.is_over) EndRun(self, report.how);
 }
 
-void dispatcher::NoteHead(run& self, uint64_t weights_version) {
+void dispatcher::RecordResponseHead(run& self, uint64_t weights_version) {
   self.has_head = true;
-  SchedulePump();
+  ScheduleDispatch();
   if (weights_version == 0) return;
   // The response may report newer weights than the view of this store.
   engine_record& record = engines_[self.engine.incarnation];
   uint64_t& known = record.weights[self.model].version;
-  if (weights_version > known) ForgetPrompts(record, self.model);
+  if (weights_version > known) ClearPrompts(record, self.model);
   known = std::max(known, weights_version);
 }
 
-void dispatcher::Forget(const run& ended) {
+void dispatcher::RemoveRun(const run& ended) {
   --engines_[ended.engine.incarnation].running;
   if (!ended.runner.empty()) RemoveEndedRun(*runners_, ended.runner, ended.id);
   runs_by_id_.erase(ended.id);
@@ -242,23 +243,23 @@
     return;
   }
   CancelRun(*runners_, ending.runner, ending.id);
-  orders_filled_.Notify();
+  has_new_orders_.Notify();
 }
 
 void dispatcher::EndRun(const std::shared_ptr<run>& ended, run_end how) {
-  Forget(*ended);
-  NoteEngine(ended->engine.incarnation, how);
-  task_run* const task = FindTask(ended->key);
+  RemoveRun(*ended);
+  RecordEngineOutcome(ended->engine.incarnation, how);
+  tracked_task* const task = FindTask(ended->key);
   if (task == nullptr) return;
   task->stage = task_stage::kWaiting;
-  const auto took = std::chrono::duration_cast<milliseconds>(clock_.Now() -
-                                                             ended->started_at);
+  const auto run_time = std::chrono::duration_cast<milliseconds>(
+      clock_.Now() - ended->started_at);
   LogEvent(event_id::kTaskRunEnded, {{"step", ended->key.step},
                                      {"task", Text(ended->key.task)},
                                      {"endpoint", ended->engine.incarnation},
                                      {"how", WordOf(how)},
                                      {"events", Text(task->text.events)},
-                                     {"ms", std::to_string(took.count())}});
+                                     {"ms", std::to_string(run_time.count())}});
   const bool is_answered = how == run_end::kComplete ||
                            how == run_end::kFailed ||
                            how == run_end::kImpossible;
@@ -266,10 +267,11 @@
   switch (how) {
     case run_end::kComplete:
       if (ended->events_at_start == 0) {
-        steps::NoteRun(paces_[ended->model], took,
-                       steps_.at(ended->key.step).expected[ended->key.task]);
+        steps::NoteRun(
+            paces_[ended->model], run_time,
+            steps_.at(ended->key.step).expected_tokens[ended->key.task]);
       }
-      TakeWholeText(ended->key);
+      HandleCompleteText(ended->key);
       break;
     case run_end::kImpossible:
       Finish(ended->key, false);
@@ -299,7 +301,7 @@
     case run_end::kMoved:
       break;
   }
-  SchedulePump();
+  ScheduleDispatch();
 }
 
 // Returns no value if the request of the task was discarded.
@@ -311,9 +313,10 @@
                                       input->path, input->body};
 }
 
-bool dispatcher::IsHeldBack(const task_key& key, task_run& task) {
+bool dispatcher::MustWaitForQuarantine(const task_key& key,
+                                       tracked_task& task) {
   if (crashes_.IsQuiet()) {
-    task.is_held_back = false;
+    task.is_waiting_for_quarantine = false;
     return false;
   }
   if (task.digest.empty()) {
@@ -321,15 +324,15 @@
     if (!identity) return false;
     task.digest = crashes_.DigestOf(*identity);
   }
-  const bool was_held_back = task.is_held_back;
-  task.is_held_back = crashes_.CheckDigest(task.digest).standing ==
-                      quarantine::request_standing::kQuarantined;
-  if (task.is_held_back && !was_held_back) {
+  const bool was_waiting_for_quarantine = task.is_waiting_for_quarantine;
+  task.is_waiting_for_quarantine = crashes_.CheckDigest(task.digest).standing ==
+                                   quarantine::request_standing::kQuarantined;
+  if (task.is_waiting_for_quarantine && !was_waiting_for_quarantine) {
     LogEvent(event_id::kTaskHeldBack, {{"step", key.step},
                                        {"task", Text(key.task)},
                                        {"digest", task.digest}});
   }
-  return task.is_held_back;
+  return task.is_waiting_for_quarantine;
 }
 
 void dispatcher::NoteServed(const task_key& key) {
@@ -342,7 +345,8 @@
   if (identity) crashes_.NoteBroken(*identity, ended.engine);
 }
 
-void dispatcher::NoteEngine(const std::string& incarnation, run_end how) {
+void dispatcher::RecordEngineOutcome(const std::string& incarnation,
+                                     run_end how) {
   engine_record& engine = engines_[incarnation];
   const bool is_fault = how == run_end::kBroken || how == run_end::kNotRun;
   if (!is_fault) {
