--- a/packages/store/remote_runner.h
+++ b/packages/store/remote_runner.h
@@ -40,16 +40,16 @@
   void Stop();
 
  private:
-  boost::asio::awaitable<void> KeepAsking();
-  boost::asio::awaitable<void> KeepReporting();
-  boost::asio::awaitable<void> KeepWatching();
-  void TakeAnswer(orders_answer answer);
-  void StartWaiting();
-  bool HasRuns() const { return runs_.Running() > 0 || !waiting_.empty(); }
-  void TakeReport(run_report report);
-  std::vector<run_report> TakeNews();
+  boost::asio::awaitable<void> RunPollLoop();
+  boost::asio::awaitable<void> RunReportLoop();
+  boost::asio::awaitable<void> RunCheckLoop();
+  void HandleAnswer(orders_answer answer);
+  void StartWaitingRuns();
+  bool HasRuns() const { return runs_.CountRunning() > 0 || !waiting_.empty(); }
+  void QueueReport(run_report report);
+  std::vector<run_report> ExtractDueReports();
   // Cancels all runs and starts a new session.
-  void StartAnew();
+  void StartNewSession();
 
   boost::asio::io_context& loop_;
   const core::runtime_clock& clock_;
@@ -59,14 +59,15 @@
   task_runner runs_;
   std::deque<run_order> waiting_;  // started when engines respond to others
   std::string session_;
-  uint64_t term_ = 0;                    // of the leader that ordered the runs
-  uint64_t received_ = 0;                // number of the leader's last answer
-  uint64_t reported_ = 0;                // number of the last reports
-  core::time_point heard_at_{};          // time of the leader's last answer
-  std::map<uint64_t, run_report> news_;  // unsent reports by run
-  bool has_ends_ = false;                // `news_` contains outcomes
-  core::time_point news_due_{};          // next time to report unfinished runs
-  net::event has_news_;
+  uint64_t term_ = 0;                  // of the leader that ordered the runs
+  uint64_t last_answer_number_ = 0;    // number of the leader's last answer
+  uint64_t last_report_number_ = 0;    // number of the last reports
+  core::time_point last_answer_at_{};  // time of the leader's last answer
+  std::map<uint64_t, run_report> reports_;  // unsent reports by run
+  bool has_outcomes_ = false;               // `reports_` contains outcomes
+  core::time_point
+      next_progress_report_at_{};  // next time to report unfinished runs
+  net::event outcome_queued_;
   bool is_stopped_ = false;
 };
 
--- a/packages/store/task_runner.cc
+++ b/packages/store/task_runner.cc
@@ -35,7 +35,7 @@
   self->rules.is_single_version = order.is_single_version;
   self->text.events = order.events;
   self->text.versions = order.versions;
-  self->heard_at = clock_.Now();
+  self->last_event_at = clock_.Now();
   self->patience = kFirstEventTimeout;
   self->order = std::move(order);
   runs_[self->order.run] = self;
@@ -46,9 +46,9 @@
       });
 }
 
-bool task_runner::IsCurrent(const std::shared_ptr<active_run>& one) const {
-  const auto found = runs_.find(one->order.run);
-  return found != runs_.end() && found->second == one;
+bool task_runner::IsCurrent(const std::shared_ptr<active_run>& active) const {
+  const auto found = runs_.find(active->order.run);
+  return found != runs_.end() && found->second == active;
 }
 
 awaitable<run_end> task_runner::Run(std::shared_ptr<active_run> self) {
@@ -70,14 +70,14 @@
   if (head.status == 422) co_return run_end::kImpossible;
   if (head.status != 200 || !marks.IsSigned()) co_return run_end::kFailed;
   self->has_head = true;
-  run_report begun;
-  begun.run = self->order.run;
-  begun.has_head = true;
-  begun.weights_version = marks.weights_version.value_or(0);
-  if (IsCurrent(self)) on_report(std::move(begun));
-  const bool may_go_on =
+  run_report head_report;
+  head_report.run = self->order.run;
+  head_report.has_head = true;
+  head_report.weights_version = marks.weights_version.value_or(0);
+  if (IsCurrent(self)) on_report(std::move(head_report));
+  const bool may_continue =
       steps::MayContinue(self->text, self->rules, marks.weights_version);
-  if (!may_go_on) co_return run_end::kUnusable;
+  if (!may_continue) co_return run_end::kUnusable;
   const run_end how = co_await ReadText(self, *open, marks.weights_version);
   if (how == run_end::kComplete) pool_.Release(std::move(open));
   co_return how;
@@ -92,52 +92,52 @@
         co_await from.ReadSome(buffer, time_point::max());
     if (state == net::body_state::kBroken) co_return run_end::kBroken;
     if (!IsCurrent(self)) co_return run_end::kMoved;
-    const auto spoiled = TakeEvents(*self, buffer, version);
-    if (spoiled) co_return *spoiled;
+    const auto event_failure = ConsumeEvents(*self, buffer, version);
+    if (event_failure) co_return *event_failure;
     if (state != net::body_state::kEnd) continue;
     co_return buffer.empty() ? run_end::kComplete : run_end::kBroken;
   }
 }
 
-std::optional<run_end> task_runner::TakeEvents(
+std::optional<run_end> task_runner::ConsumeEvents(
     active_run& self, std::string& buffer, std::optional<uint64_t>& version) {
   const steps::version_reader read = [this](const std::string& field,
                                             const std::string& value) {
     return wire_.EventVersion(field, value);
   };
-  run_report news;
-  news.run = self.order.run;
-  const uint64_t before = self.text.events;
-  std::optional<run_end> spoiled;
+  run_report report;
+  report.run = self.order.run;
+  const uint64_t events_before = self.text.events;
+  std::optional<run_end> event_failure;
   while (const auto fields = steps::TakeEvent(buffer)) {
     const steps::event_verdict verdict =
         steps::AddEvent(self.text, *fields, self.rules, read, version);
     if (verdict == steps::event_verdict::kSpoiled) {
-      spoiled = run_end::kBroken;
+      event_failure = run_end::kBroken;
       break;
     }
     if (verdict != steps::event_verdict::kTaken) {
-      spoiled = run_end::kUnusable;
+      event_failure = run_end::kUnusable;
       break;
     }
   }
-  if (self.text.data.empty()) return spoiled;
+  if (self.text.data.empty()) return event_failure;
   const time_point now = clock_.Now();
   // The time before the first event is excluded, because it includes the
   // processing of the prompt.
-  if (before > self.order.events) {
+  if (events_before > self.order.events) {
     const auto span =
-        std::chrono::duration_cast<milliseconds>(now - self.heard_at);
-    news.span_ms = span.count();
-    news.spanned = self.text.events - before;
+        std::chrono::duration_cast<milliseconds>(now - self.last_event_at);
+    report.span_ms = span.count();
+    report.spanned = self.text.events - events_before;
   }
-  self.heard_at = now;
+  self.last_event_at = now;
   self.patience = kEventTimeout;
-  news.data = std::move(self.text.data);
+  report.data = std::move(self.text.data);
   self.text.data.clear();
-  news.versions = self.text.versions;
-  on_report(std::move(news));
-  return spoiled;
+  report.versions = self.text.versions;
+  on_report(std::move(report));
+  return event_failure;
 }
 
 void task_runner::EndRun(const std::shared_ptr<active_run>& ended,
@@ -147,8 +147,8 @@
   run_report report;
   report.run = ended->order.run;
   report.is_over = true;
-  const bool is_silenced = ended->is_stalled && how == run_end::kMoved;
-  report.how = is_silenced ? run_end::kBroken : how;
+  const bool is_timeout = ended->is_stalled && how == run_end::kMoved;
+  report.how = is_timeout ? run_end::kBroken : how;
   on_report(std::move(report));
 }
 
@@ -167,7 +167,7 @@
   for (const auto& item : ending) net::Cancel(item.second->cancel);
 }
 
-size_t task_runner::Starting() const {
+size_t task_runner::CountStarting() const {
   return static_cast<size_t>(
       std::count_if(runs_.begin(), runs_.end(),
                     [](const auto& item) { return !item.second->has_head; }));
@@ -177,13 +177,13 @@
   const time_point now = clock_.Now();
   std::vector<std::shared_ptr<active_run>> ending;
   for (const auto& item : runs_) {
-    const active_run& one = *item.second;
-    const bool is_silent = now - one.heard_at > one.patience;
-    if (is_silent && !one.is_stalled) ending.push_back(item.second);
+    const active_run& active = *item.second;
+    const bool is_timed_out = now - active.last_event_at > active.patience;
+    if (is_timed_out && !active.is_stalled) ending.push_back(item.second);
   }
-  for (const auto& one : ending) {
-    one->is_stalled = true;
-    net::Cancel(one->cancel);
+  for (const auto& active : ending) {
+    active->is_stalled = true;
+    net::Cancel(active->cancel);
   }
 }
 
--- a/packages/store/task_runner.h
+++ b/packages/store/task_runner.h
@@ -38,9 +38,9 @@
   // ms.
   void EndStalled();
 
-  size_t Running() const { return runs_.size(); }
+  size_t CountRunning() const { return runs_.size(); }
   // Number of runs whose engine has not sent a response head yet.
-  size_t Starting() const;
+  size_t CountStarting() const;
 
  private:
   struct active_run {
@@ -49,7 +49,7 @@
     steps::generated_text text;  // `data` has only events not yet reported
     bool has_head = false;
     bool is_stalled = false;
-    core::time_point heard_at{};  // time of the last event or of the start
+    core::time_point last_event_at{};  // time of the last event or of the start
     core::milliseconds patience{0};
     net::cancel_signal cancel = net::MakeCancelSignal();
   };
@@ -60,10 +60,10 @@
                                            std::optional<uint64_t> version);
   // Removes the complete events from `buffer` and reports them. Returns an
   // outcome if an event is malformed or not allowed, else no value.
-  std::optional<run_end> TakeEvents(active_run& self, std::string& buffer,
-                                    std::optional<uint64_t>& version);
+  std::optional<run_end> ConsumeEvents(active_run& self, std::string& buffer,
+                                       std::optional<uint64_t>& version);
   void EndRun(const std::shared_ptr<active_run>& ended, run_end how);
-  bool IsCurrent(const std::shared_ptr<active_run>& one) const;
+  bool IsCurrent(const std::shared_ptr<active_run>& active) const;
 
   boost::asio::io_context& loop_;
   const core::runtime_clock& clock_;
