--- a/packages/store/step_service.cc
+++ b/packages/store/step_service.cc
@@ -27,16 +27,16 @@
 
 constexpr milliseconds kHousePeriod{500};
 // Period of the commands that remove old steps. Each command costs a disk sync.
-constexpr std::chrono::seconds kForgetPeriod{10};
+constexpr std::chrono::seconds kStepRemovalPeriod{10};
 // Maximum size of the outputs in one page of results.
-constexpr uint64_t kMostPageBytes = 1000 * 1000;
+constexpr uint64_t kMaxPageBytes = 1000 * 1000;
 // The same for a page that is read from disk. A log entry contains results of
 // several steps, so a few times this size is decoded, which takes a small
 // instance some 50 ms.
-constexpr uint64_t kMostDiskBytes = 150 * 1000;
+constexpr uint64_t kMaxDiskPageBytes = 150 * 1000;
 constexpr milliseconds kLongestWait{5000};
 
-envelope NoSuch(const std::string& what) {
+envelope NotFound(const std::string& what) {
   return {call_outcome::kNotFound, "", "no such " + what, ""};
 }
 
@@ -119,17 +119,17 @@
   for (;;) {
     if (!group_.IsServing()) co_return NotLeader();
     const steps::step* where = state_.Find(input->step);
-    if (where == nullptr) co_return NoSuch("step");
+    if (where == nullptr) co_return NotFound("step");
     const bool has_all =
         where->is_ended || where->results.size() == where->input.tasks.size();
-    const bool has_news = where->results.size() > input->after;
-    if (has_news || has_all || clock_.Now() >= until) {
+    const bool has_new_results = where->results.size() > input->after;
+    if (has_new_results || has_all || clock_.Now() >= until) {
       const bool is_on_disk = input->after < where->results.size() &&
                               where->results[input->after].bytes_on_disk > 0;
       const uint64_t bytes = std::min(
-          input->page_bytes, is_on_disk ? kMostDiskBytes : kMostPageBytes);
+          input->page_bytes, is_on_disk ? kMaxDiskPageBytes : kMaxPageBytes);
       steps::result_page page = steps::ReadPage(*where, input->after, bytes);
-      if (!FillOutputs(input->step, page)) {
+      if (!ReadOutputs(input->step, page)) {
         LogEvent(event_id::kResultsNotRead,
                  {{"step", input->step}, {"reason", core::LastReason().text}});
         co_return envelope{call_outcome::kUnavailable, "",
@@ -143,7 +143,7 @@
 
 // Reads the outputs that are only on disk. The results of one log entry are
 // adjacent in a page, so each entry is read once.
-bool step_service::FillOutputs(const std::string& step,
+bool step_service::ReadOutputs(const std::string& step,
                                steps::result_page& page) {
   uint64_t index = 0;
   std::map<uint32_t, std::string> outputs;  // of the entry at `index`, by task
@@ -166,7 +166,7 @@
   const auto input = core::DecodeBinary<peering::read_task_request>(payload);
   if (!input) co_return Malformed();
   const steps::step* where = state_.Find(input->step);
-  if (where == nullptr) co_return NoSuch("step");
+  if (where == nullptr) co_return NotFound("step");
   for (uint32_t i = 0; i < where->input.tasks.size(); ++i) {
     const steps::task& task = where->input.tasks[i];
     if (task.id != input->task) continue;
@@ -177,17 +177,17 @@
               {"is_ended", where->is_ended ? "true" : "false"},
               {"bytes",
                std::to_string(task.request ? task.request->body.size() : 0)}});
-    if (!task.request) co_return NoSuch("request body: it was discarded");
+    if (!task.request) co_return NotFound("request body: it was discarded");
     co_return Done(task.request->body);
   }
-  co_return NoSuch("task");
+  co_return NotFound("task");
 }
 
 awaitable<envelope> step_service::EndStep(std::string payload) {
   const auto input = core::DecodeBinary<peering::named_item>(payload);
   if (!input) co_return Malformed();
   const steps::step* where = state_.Find(input->name);
-  if (where == nullptr) co_return NoSuch("step");
+  if (where == nullptr) co_return NotFound("step");
   if (where->is_ended) co_return Done();
   const size_t results = where->results.size();
   end_step_command command;
@@ -217,7 +217,7 @@
   const auto input = core::DecodeBinary<peering::named_item>(payload);
   if (!input) co_return Malformed();
   if (state_.Retired().count(input->name) != 0) co_return Done();
-  if (StoresWithout(input->name) < options_.least_stores) {
+  if (StoresWithout(input->name) < options_.min_stores) {
     co_return envelope{call_outcome::kConflict, "",
                        "too few stores would be left", ""};
   }
@@ -231,7 +231,8 @@
 awaitable<envelope> step_service::ReadRetirement(std::string payload) {
   const auto input = core::DecodeBinary<peering::named_item>(payload);
   if (!input) co_return Malformed();
-  if (state_.Retired().count(input->name) == 0) co_return NoSuch("retirement");
+  if (state_.Retired().count(input->name) == 0)
+    co_return NotFound("retirement");
   const std::vector<std::string> members = group_.Members();
   const bool is_member =
       std::find(members.begin(), members.end(), input->name) != members.end();
@@ -247,22 +248,22 @@
 }
 
 awaitable<void> step_service::KeepHouse() {
-  time_point forget_at = clock_.Now() + kForgetPeriod;
+  time_point next_removal_at = clock_.Now() + kStepRemovalPeriod;
   for (;;) {
     co_await net::Sleep(kHousePeriod);
     if (!group_.IsServing()) continue;
     // A leader that is being retired must transfer leadership before it can
     // leave the group.
     if (state_.Retired().count(group_.OwnAddress()) != 0) group_.HandOver();
-    if (clock_.Now() < forget_at) continue;
-    forget_at = clock_.Now() + kForgetPeriod;
-    co_await ForgetOldSteps();
+    if (clock_.Now() < next_removal_at) continue;
+    next_removal_at = clock_.Now() + kStepRemovalPeriod;
+    co_await RemoveOldSteps();
   }
 }
 
-awaitable<void> step_service::ForgetOldSteps() {
+awaitable<void> step_service::RemoveOldSteps() {
   const int64_t now_ms = core::ToUnixMillis(clock_.WallNow());
-  forget_steps_command command;
+  remove_steps_command command;
   command.ended_before_ms = now_ms - options_.step_retention.count();
   command.opened_before_ms = now_ms - options_.open_step_retention.count();
   const bool has_old =
@@ -271,7 +272,7 @@
                     return item.second.opened_ms < command.ended_before_ms;
                   });
   if (!has_old) co_return;
-  co_await group_.Commit(kForgetStepsCommand, core::EncodeBinary(command));
+  co_await group_.Commit(kRemoveStepsCommand, core::EncodeBinary(command));
 }
 
 }  // namespace hickorywood::store
--- a/packages/store/step_service.h
+++ b/packages/store/step_service.h
@@ -25,7 +25,7 @@
   // The same for a step that has not ended.
   std::chrono::milliseconds open_step_retention{600000};
   // Minimum number of stores that must remain when a store is retired.
-  size_t least_stores = 3;
+  size_t min_stores = 3;
 };
 
 class step_service {
@@ -45,7 +45,7 @@
   using answer = boost::asio::awaitable<peering::envelope>;
 
   answer OpenStep(std::string payload);
-  bool FillOutputs(const std::string& step, steps::result_page& page);
+  bool ReadOutputs(const std::string& step, steps::result_page& page);
   answer ReadResults(std::string payload);
   answer ReadTask(std::string payload);
   answer EndStep(std::string payload);
@@ -54,7 +54,7 @@
 
   answer CommitCall(std::string name, std::string payload);
   boost::asio::awaitable<void> KeepHouse();
-  boost::asio::awaitable<void> ForgetOldSteps();
+  boost::asio::awaitable<void> RemoveOldSteps();
   size_t StoresWithout(const std::string& node) const;
   peering::envelope NotLeader() const;
 
--- a/packages/store/step_state.h
+++ b/packages/store/step_state.h
@@ -19,7 +19,7 @@
 constexpr char kAddResultsCommand[] = "add_results";
 constexpr char kAddProgressCommand[] = "add_progress";
 constexpr char kEndStepCommand[] = "end_step";
-constexpr char kForgetStepsCommand[] = "forget_steps";
+constexpr char kRemoveStepsCommand[] = "forget_steps";
 constexpr char kRetireCommand[] = "retire";
 
 struct step_results {
@@ -49,11 +49,11 @@
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(end_step_command, step)
 
-struct forget_steps_command {
+struct remove_steps_command {
   int64_t ended_before_ms = 0;   // removes ended steps submitted before this
   int64_t opened_before_ms = 0;  // removes all steps submitted before this
 };
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(forget_steps_command,
+NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(remove_steps_command,
                                                 ended_before_ms,
                                                 opened_before_ms)
 
@@ -74,11 +74,11 @@
   // the texts of two minutes took several times their memory while it was made.
   consensus::saved_state Save(uint64_t applied) const override;
 
-  const steps::step_book& Steps() const { return held_.steps; }
+  const steps::step_book& Steps() const { return content_.steps; }
   // Returns nullptr if there is no such step.
   const steps::step* Find(const std::string& id) const;
   // Peer addresses of the stores that are being retired.
-  const std::set<std::string>& Retired() const { return held_.retired; }
+  const std::set<std::string>& Retired() const { return content_.retired; }
 
   struct content {
     steps::step_book steps;
@@ -87,7 +87,7 @@
 
  private:
   const size_t output_budget_;
-  content held_;
+  content content_;
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(step_state::content, steps,
                                                 retired)
--- a/packages/store/store_instance.cc
+++ b/packages/store/store_instance.cc
@@ -31,7 +31,7 @@
 constexpr char kGroupName[] = "data";
 // Time for a leadership transfer to reach the successor before the listener
 // closes.
-constexpr milliseconds kHandOverTime{300};
+constexpr milliseconds kLeadershipTransferTime{300};
 
 peering::follower_options FollowerOptions(
     const settings::node_settings& settings) {
@@ -49,7 +49,7 @@
 step_service_options ServiceOptions(const settings::node_settings& settings) {
   step_service_options options;
   options.step_retention = settings.step_retention;
-  options.least_stores = settings.DataVoters();
+  options.min_stores = settings.DataVoters();
   return options;
 }
 
@@ -81,12 +81,12 @@
         peers(io, peering::PeerListenerOptions(node.peers_address),
               [this](net::exchange& call) { return ServePeer(call); }) {
     group.on_leadership = [this](bool is_leader) {
-      has_steps_to_note = is_leader;
+      must_log_loaded_steps = is_leader;
       dispatch.OnLeadership(is_leader);
       service.OnChange();
     };
     group.on_applied = [this] {
-      NoteStepsHeld();
+      LogLoadedSteps();
       service.OnChange();
       dispatch.OnApplied();
     };
@@ -113,9 +113,9 @@
   // Logs the steps that a new leader has loaded. After a loss of disks the
   // entry shows whether a missing step was lost or is just not found. Only a
   // leader that serves has applied all accepted commands.
-  void NoteStepsHeld() {
-    if (!has_steps_to_note || !group.IsServing()) return;
-    has_steps_to_note = false;
+  void LogLoadedSteps() {
+    if (!must_log_loaded_steps || !group.IsServing()) return;
+    must_log_loaded_steps = false;
     size_t ended = 0;
     size_t results = 0;
     for (const auto& [id, step] : state.Steps()) {
@@ -152,7 +152,7 @@
     dispatch.OnLeadership(false);
     runner.Stop();
     group.HandOver();
-    co_await net::Sleep(kHandOverTime);
+    co_await net::Sleep(kLeadershipTransferTime);
     peers.StopAccepting();
     LogEvent(event_id::kProcessStopped, {{"instance", settings.id}});
     loop.stop();
@@ -172,7 +172,7 @@
   peering::leader_caller leader;  // calls the leader of the data group
   remote_runner runner;
   net::listener peers;
-  bool has_steps_to_note = false;
+  bool must_log_loaded_steps = false;
 };
 
 store_instance::store_instance(asio::io_context& loop,
--- a/tests/unit/store/step_state_test.cc
+++ b/tests/unit/store/step_state_test.cc
@@ -46,9 +46,9 @@
 }
 
 group::hosted_command Forget(uint64_t index, int64_t ended_before_ms) {
-  forget_steps_command input;
+  remove_steps_command input;
   input.ended_before_ms = ended_before_ms;
-  return Command(index, kForgetStepsCommand, core::EncodeBinary(input));
+  return Command(index, kRemoveStepsCommand, core::EncodeBinary(input));
 }
 
 // A day of steps of which the first are forgotten. The snapshot is small, since
