--- a/packages/store/dispatch_limits.h
+++ b/packages/store/dispatch_limits.h
@@ -47,8 +47,9 @@
 // soon.
 constexpr milliseconds kBusyPollWait{300};
 constexpr milliseconds kIdlePollWait{2000};
-// Additional time that a runner waits for an answer after that delay.
-constexpr milliseconds kPollTimeoutSlack{400};
+// Time for which a runner waits for the leader's reply, in addition to the
+// delay above if it polls.
+constexpr milliseconds kReplyTimeout{400};
 // A runner that gets no answer from its leader for this long cancels all its
 // runs, because the leader may have given their tasks to other runners.
 constexpr milliseconds kLeaderContactTimeout{900};
@@ -71,7 +72,7 @@
 // Minimum age of a run that is moved, and maximum number of moves of a task.
 // After a move the new engine has to process the prompt again.
 constexpr milliseconds kMinRunTimeBeforeMove{400};
-constexpr int kMaxMovesPerTask = 2;
+constexpr int kMaxMoves = 2;
 // Period of committing the text of running tasks, and the number of new events
 // from which a task is included. Most tasks finish before they reach it.
 constexpr milliseconds kProgressCommitPeriod{400};
--- a/packages/store/dispatcher.cc
+++ b/packages/store/dispatcher.cc
@@ -114,8 +114,7 @@
 // once and their tasks continue on other engines. An engine that is no longer
 // in the list, but has no newer incarnation, may still be finishing its runs.
 void dispatcher::EndRunsOfOldIncarnations() {
-  std::map<std::string, std::string>
-      latest_incarnations;  // incarnation by name
+  std::map<std::string, std::string> latest_incarnations;  // by name
   for (const fleet::endpoint& item : view_.endpoints) {
     latest_incarnations[item.name] = item.incarnation;
   }
@@ -376,16 +375,15 @@
   if (pace == paces_.end()) return slots;
   steps::waiting_work work;
   for (const steps::engine_load& load : pool.loads) work.others += load.running;
-  int64_t expected_tokens = 0;
+  int64_t tokens = 0;
   const int64_t longest = step.expected_tokens[step.order.front()];
   for (size_t i = 0; i < step.tasks.size(); ++i) {
     const task_stage stage = step.tasks[i].stage;
-    if (stage == task_stage::kWaiting)
-      expected_tokens += step.expected_tokens[i];
+    if (stage == task_stage::kWaiting) tokens += step.expected_tokens[i];
     const bool is_short = !steps::IsLong(step.expected_tokens[i], longest);
     if (stage == task_stage::kRunning && is_short) --work.others;
   }
-  work.runs = steps::ExpectedTime(pace->second, expected_tokens);
+  work.runs = steps::ExpectedTime(pace->second, tokens);
   work.age = clock_.Now() - step.opened_at;
   work.due = milliseconds(item.terms->due_ms);
   return steps::PlacesForShortTasks(work, engines, slots);
--- a/packages/store/dispatcher.h
+++ b/packages/store/dispatcher.h
@@ -83,7 +83,7 @@
     int64_t failures = 0;  // answers that count as a failed attempt
     core::time_point not_before{};
     int moves = 0;                  // away from slow engines
-    std::string left_engine;        // engine that the last move took it from
+    std::string left_engine;        // engine of the run that was moved last
     uint64_t committed_events = 0;  // events of `text` that are committed
     bool is_complete_text_committed = false;
     core::time_point completed_at{};
@@ -121,9 +121,8 @@
     std::string runner;  // peer address of its store; empty: this store
     uint64_t events_at_start = 0;
     core::time_point started_at{};
-    bool has_head = false;  // the engine has sent the response head
-    core::time_point
-        last_report_at{};  // time of the last report or of the start
+    bool has_head = false;              // the engine has sent the response head
+    core::time_point last_report_at{};  // or the start
   };
   // The engines that may run the tasks of a step, with their state.
   struct engine_pool {
--- a/packages/store/dispatcher_results.cc
+++ b/packages/store/dispatcher_results.cc
@@ -131,18 +131,18 @@
       tracked_task& task = where.tasks[i];
       if (!NeedsProgressCommit(task)) continue;
       const uint64_t from = task.committed_events;
-      steps::task_progress added;
-      added.task = i;
-      added.after = from;
-      added.text.events = task.text.events;
-      added.text.versions = task.text.versions;
-      added.text.is_whole = task.text.is_whole;
-      added.text.data.assign(
+      steps::task_progress new_progress;
+      new_progress.task = i;
+      new_progress.after = from;
+      new_progress.text.events = task.text.events;
+      new_progress.text.versions = task.text.versions;
+      new_progress.text.is_whole = task.text.is_whole;
+      new_progress.text.data.assign(
           task.text.data.begin() + static_cast<ptrdiff_t>(from),
           task.text.data.end());
       task.committed_events = task.text.events;
       task.is_complete_text_committed = task.text.is_whole;
-      progress.tasks.push_back(std::move(added));
+      progress.tasks.push_back(std::move(new_progress));
     }
     if (!progress.tasks.empty()) command.steps.push_back(std::move(progress));
   }
@@ -220,8 +220,7 @@
     const bool is_settled =
         clock_.Now() - item->started_at >= kMinRunTimeBeforeMove;
     const tracked_task* task = FindTask(key);
-    if (!is_settled || task == nullptr || task->moves >= kMaxMovesPerTask)
-      continue;
+    if (!is_settled || task == nullptr || task->moves >= kMaxMoves) continue;
     const auto step = state_.Steps().find(key.step);
     if (step == state_.Steps().end()) continue;
     auto pool = by_step.find(key.step);
--- a/packages/store/dispatcher_runs.cc
+++ b/packages/store/dispatcher_runs.cc
@@ -108,8 +108,7 @@
         session_(input.session),
         clock_(clock) {}
   ~open_poll() {
-    if (!is_answered_)
-      RecordAbandonedPoll(*registry_, runner_, session_, clock_.Now());
+    if (!is_answered_) OnPollClose(*registry_, runner_, session_, clock_.Now());
   }
   open_poll(const open_poll&) = delete;
   open_poll& operator=(const open_poll&) = delete;
--- a/packages/store/remote_runner.cc
+++ b/packages/store/remote_runner.cc
@@ -79,7 +79,7 @@
       continue;
     }
     const milliseconds wait = HasRuns() ? kBusyPollWait : kIdlePollWait;
-    const milliseconds patience = wait + kPollTimeoutSlack;
+    const milliseconds patience = wait + kReplyTimeout;
     orders_request input;
     input.runner = options_.address;
     input.zone = options_.zone;
@@ -173,9 +173,9 @@
     input.reports = std::move(due_reports);
     const std::string payload = core::EncodeBinary(input);
     for (int i = 0; i < kMaxReportAttempts && input.session == session_; ++i) {
-      const envelope reply = co_await leader_.Ask(
-          peering::kReportRunsMethod, payload, clock_.Now() + kPollTimeoutSlack,
-          kPollTimeoutSlack);
+      const envelope reply =
+          co_await leader_.Ask(peering::kReportRunsMethod, payload,
+                               clock_.Now() + kReplyTimeout, kReplyTimeout);
       if (reply.outcome == call_outcome::kDone) break;
       // The leader has removed this session and given its tasks to others, or
       // it is assumed to have done so.
@@ -190,9 +190,8 @@
 // per period. If each outcome also sent the reports of unfinished runs, their
 // text would be sent in pieces of single events.
 std::vector<run_report> remote_runner::ExtractDueReports() {
-  const bool is_all_due = clock_.Now() >= next_progress_report_at_;
-  if (is_all_due)
-    next_progress_report_at_ = clock_.Now() + kProgressReportPeriod;
+  const bool is_all_due = clock_.Now() >= progress_due_at_;
+  if (is_all_due) progress_due_at_ = clock_.Now() + kProgressReportPeriod;
   std::vector<run_report> due;
   std::erase_if(reports_, [&due, is_all_due](auto& item) {
     const bool is_due = is_all_due || item.second.is_over;
--- a/packages/store/remote_runner.h
+++ b/packages/store/remote_runner.h
@@ -65,8 +65,7 @@
   core::time_point last_answer_at_{};  // time of the leader's last answer
   std::map<uint64_t, run_report> reports_;  // unsent reports by run
   bool has_outcomes_ = false;               // `reports_` contains outcomes
-  core::time_point
-      next_progress_report_at_{};  // next time to report unfinished runs
+  core::time_point progress_due_at_{};  // next time to report unfinished runs
   net::event outcome_queued_;
   bool is_stopped_ = false;
 };
--- a/packages/store/reward_caller.cc
+++ b/packages/store/reward_caller.cc
@@ -41,10 +41,10 @@
     : loop_(loop), clock_(clock), sender_(sender), wire_(wire), view_(view) {}
 
 void reward_caller::Add(reward_job job) {
-  const auto added = std::make_shared<job_state>();
+  const auto new_job = std::make_shared<job_state>();
   const task_key key = job.key;
-  added->job = std::move(job);
-  jobs_[key] = added;
+  new_job->job = std::move(job);
+  jobs_[key] = new_job;
 }
 
 void reward_caller::SendWaiting() {
--- a/packages/store/runner_book.cc
+++ b/packages/store/runner_book.cc
@@ -17,9 +17,9 @@
   return found == registry.runners.end() ? nullptr : &found->second;
 }
 
-// Whether the runner polls now or did so a moment ago. A working runner sends
-// its next poll directly after an answer.
-bool IsPollingNow(const registered_runner& entry, core::time_point now) {
+// Whether the runner polls now or was in contact a moment ago. A working runner
+// sends its next poll directly after an answer.
+bool IsResponsive(const registered_runner& entry, core::time_point now) {
   return entry.is_polling || now - entry.last_contact_at < kMaxPollGap;
 }
 
@@ -79,8 +79,8 @@
   return found != registry.runners.end() && found->second.session == session;
 }
 
-void RecordAbandonedPoll(runner_book& registry, const std::string& runner,
-                         const std::string& session, core::time_point now) {
+void OnPollClose(runner_book& registry, const std::string& runner,
+                 const std::string& session, core::time_point now) {
   registered_runner* const entry = Find(registry, runner);
   if (entry == nullptr || entry->session != session) return;
   entry->is_polling = false;
@@ -132,7 +132,7 @@
   };
   for (const auto& item : registry.runners) {
     const registered_runner& entry = item.second;
-    if (!IsPollingNow(entry, now) || !HasRoom(entry)) continue;
+    if (!IsResponsive(entry, now) || !HasRoom(entry)) continue;
     if (best == nullptr || rank(entry) > rank(best->second)) best = &item;
   }
   if (best == nullptr) return std::nullopt;
--- a/packages/store/runner_book.h
+++ b/packages/store/runner_book.h
@@ -89,8 +89,8 @@
                 const std::string& session);
 // Called when a runner closed its poll before the answer. Either the runner has
 // terminated, or it polls again at once.
-void RecordAbandonedPoll(runner_book& registry, const std::string& runner,
-                         const std::string& session, core::time_point now);
+void OnPollClose(runner_book& registry, const std::string& runner,
+                 const std::string& session, core::time_point now);
 
 // Returns whether reports are the next ones of a registered session, about runs
 // that the leader of `term` ordered. Other reports must be ignored. Reports
--- a/packages/store/step_service.cc
+++ b/packages/store/step_service.cc
@@ -36,7 +36,7 @@
 constexpr uint64_t kMaxDiskPageBytes = 150 * 1000;
 constexpr milliseconds kLongestWait{5000};
 
-envelope NotFound(const std::string& what) {
+envelope NoSuch(const std::string& what) {
   return {call_outcome::kNotFound, "", "no such " + what, ""};
 }
 
@@ -119,7 +119,7 @@
   for (;;) {
     if (!group_.IsServing()) co_return NotLeader();
     const steps::step* where = state_.Find(input->step);
-    if (where == nullptr) co_return NotFound("step");
+    if (where == nullptr) co_return NoSuch("step");
     const bool has_all =
         where->is_ended || where->results.size() == where->input.tasks.size();
     const bool has_new_results = where->results.size() > input->after;
@@ -166,7 +166,7 @@
   const auto input = core::DecodeBinary<peering::read_task_request>(payload);
   if (!input) co_return Malformed();
   const steps::step* where = state_.Find(input->step);
-  if (where == nullptr) co_return NotFound("step");
+  if (where == nullptr) co_return NoSuch("step");
   for (uint32_t i = 0; i < where->input.tasks.size(); ++i) {
     const steps::task& task = where->input.tasks[i];
     if (task.id != input->task) continue;
@@ -177,17 +177,17 @@
               {"is_ended", where->is_ended ? "true" : "false"},
               {"bytes",
                std::to_string(task.request ? task.request->body.size() : 0)}});
-    if (!task.request) co_return NotFound("request body: it was discarded");
+    if (!task.request) co_return NoSuch("request body: it was discarded");
     co_return Done(task.request->body);
   }
-  co_return NotFound("task");
+  co_return NoSuch("task");
 }
 
 awaitable<envelope> step_service::EndStep(std::string payload) {
   const auto input = core::DecodeBinary<peering::named_item>(payload);
   if (!input) co_return Malformed();
   const steps::step* where = state_.Find(input->name);
-  if (where == nullptr) co_return NotFound("step");
+  if (where == nullptr) co_return NoSuch("step");
   if (where->is_ended) co_return Done();
   const size_t results = where->results.size();
   end_step_command command;
@@ -226,13 +226,12 @@
   co_return co_await CommitCall(kRetireCommand, core::EncodeBinary(command));
 }
 
-// A store can be shut down when it is not a member of the group and the data is
-// fully replicated on the other members.
+// A store is retired when it is not a member of the group and no acknowledged
+// data depends on a single disk.
 awaitable<envelope> step_service::ReadRetirement(std::string payload) {
   const auto input = core::DecodeBinary<peering::named_item>(payload);
   if (!input) co_return Malformed();
-  if (state_.Retired().count(input->name) == 0)
-    co_return NotFound("retirement");
+  if (state_.Retired().count(input->name) == 0) co_return NoSuch("retirement");
   const std::vector<std::string> members = group_.Members();
   const bool is_member =
       std::find(members.begin(), members.end(), input->name) != members.end();
--- a/tests/unit/store/runner_book_test.cc
+++ b/tests/unit/store/runner_book_test.cc
@@ -83,7 +83,7 @@
 // twice costs a place that another one could have.
 TEST(RunnerBookTest, ARunnerGivesUpBeforeItsLeaderDoes) {
   EXPECT_LT(kLeaderContactTimeout, kRunnerContactTimeout);
-  EXPECT_LT(kBusyPollWait + kPollTimeoutSlack, kLeaderContactTimeout);
+  EXPECT_LT(kBusyPollWait + kReplyTimeout, kLeaderContactTimeout);
 }
 
 // The process is killed: its connection closes, and nobody waits for silence.
@@ -91,7 +91,7 @@
   runner_book registry = MakeBook();
   ApplyPoll(registry, Question("a", 1), kStart);
   EXPECT_TRUE(RemoveUnreachable(registry, kStart + kIdlePollWait).empty());
-  RecordAbandonedPoll(registry, "a", "one", kStart);
+  OnPollClose(registry, "a", "one", kStart);
   EXPECT_TRUE(RemoveUnreachable(registry, kStart).empty());
   EXPECT_EQ(RemoveUnreachable(registry, kStart + kMaxPollGap + milliseconds(1))
                 .size(),
