--- a/tests/unit/store/reward_caller_test.cc
+++ b/tests/unit/store/reward_caller_test.cc
@@ -1,5 +1,5 @@
-// Reward calls over real sockets: which endpoints see them, how often, and what
-// becomes of a text whose score does not come.
+// Tests reward calls over real sockets: which endpoints receive them, how
+// often, and the outcome if no score arrives.
 
 #include "store/reward_caller.h"
 
@@ -23,13 +23,13 @@
 using boost::asio::awaitable;
 using core::milliseconds;
 
-constexpr milliseconds kTurn{5};
-constexpr milliseconds kLimit{10000};
+constexpr milliseconds kLoopTurn{5};
+constexpr milliseconds kTestTimeout{10000};
 constexpr int64_t kSlots = 4;
-constexpr int64_t kMostAttempts = 2;
+constexpr int64_t kMaxAttempts = 2;
 
-net::response Signed(const net::request& input, int status,
-                     const std::string& mark) {
+net::response SignedResponse(const net::request& input, int status,
+                             const std::string& mark) {
   net::response answer;
   answer.status = status;
   answer.headers = {
@@ -51,12 +51,12 @@
     where.services = {{"scorers", 1}};
     where.timeout_ms = 5000;
     where.objective_ms = 20000;
-    where.max_attempts = kMostAttempts;
+    where.max_attempts = kMaxAttempts;
     view_.config.version = 1;
     view_.config.routes = {where};
     caller_.on_finished = [this](const task_key& key, reward_end how,
                                  const std::string& score) {
-      ended_[key.task] = how == reward_end::kScored ? score : "given up";
+      results_[key.task] = how == reward_end::kScored ? score : "abandoned";
     };
     caller_.open_in_group = [this](const task_key& key) {
       return open_in_group_[key.task];
@@ -79,7 +79,8 @@
     options.limits = [] { return net::caller_limits{}; };
     listeners_.push_back(std::make_unique<net::listener>(
         loop_, options, [this, serve](net::exchange& call) {
-          seen_.emplace_back(net::Find(call.Request().headers, "X-Request-Id"));
+          received_ids_.emplace_back(
+              net::Find(call.Request().headers, "X-Request-Id"));
           return serve(call);
         }));
     ASSERT_TRUE(listeners_.back()->Start());
@@ -94,13 +95,14 @@
     caller_.Add(job);
   }
 
-  // Lets the loop run, with a pass of the caller now and then, until `is_done`.
+  // Runs the loop until `is_done`, and sends waiting requests before each turn.
   bool RunUntil(const std::function<bool()>& is_done) {
-    const core::time_point limit = std::chrono::steady_clock::now() + kLimit;
-    while (!is_done() && std::chrono::steady_clock::now() < limit) {
+    const core::time_point deadline =
+        std::chrono::steady_clock::now() + kTestTimeout;
+    while (!is_done() && std::chrono::steady_clock::now() < deadline) {
       caller_.SendWaiting();
       loop_.restart();
-      loop_.run_for(kTurn);
+      loop_.run_for(kLoopTurn);
     }
     return is_done();
   }
@@ -119,14 +121,14 @@
                                   view_, crashes_, "z"};
   reward_caller caller_{loop_, clock_, sender_, *wire_, view_};
   std::vector<std::unique_ptr<net::listener>> listeners_;
-  std::vector<std::string> seen_;  // requests that reached an endpoint
-  std::map<uint32_t, std::string> ended_;
+  std::vector<std::string> received_ids_;  // of requests at the endpoints
+  std::map<uint32_t, std::string> results_;
   std::map<uint32_t, size_t> open_in_group_;
 };
 
-// One endpoint closes each connection without an answer, another one answers
-// without a mark. The text is scored by the third one, and only by it: what is
-// no whole answer of an endpoint is no score.
+// One endpoint closes each connection without a response, and another responds
+// without a signature. Only the response of the third endpoint is complete and
+// signed, so only its score is used.
 TEST_F(RewardCallerTest, LostAndUnsignedAnswersGoElsewhere) {
   view_.config.routes[0].max_attempts = 3;
   StartEndpoint([](net::exchange&) -> awaitable<void> { co_return; });
@@ -135,31 +137,32 @@
     co_await call.Reply(std::move(unsigned_answer));
   });
   StartEndpoint([](net::exchange& call) -> awaitable<void> {
-    net::response answer = Signed(call.Request(), 200, "mark");
+    net::response answer = SignedResponse(call.Request(), 200, "mark");
     co_await call.Reply(std::move(answer));
   });
   Add(0);
-  EXPECT_TRUE(RunUntil([this] { return !ended_.empty(); }));
-  EXPECT_EQ(ended_[0], "mark");
+  EXPECT_TRUE(RunUntil([this] { return !results_.empty(); }));
+  EXPECT_EQ(results_[0], "mark");
 }
 
-// Every endpoint answers 500. The call is sent to as many endpoints as the
-// route allows, and the task is given up only then.
+// Every endpoint responds with 500. The request is sent to as many endpoints as
+// the route allows before the job is abandoned.
 TEST_F(RewardCallerTest, GivenUpAfterTheAttemptsOfTheRoute) {
   for (int i = 0; i < 3; ++i) {
     StartEndpoint([](net::exchange& call) -> awaitable<void> {
-      net::response answer = Signed(call.Request(), 500, "mark");
+      net::response answer = SignedResponse(call.Request(), 500, "mark");
       co_await call.Reply(std::move(answer));
     });
   }
   Add(0);
-  EXPECT_TRUE(RunUntil([this] { return !ended_.empty(); }));
-  EXPECT_EQ(ended_[0], "given up");
-  EXPECT_EQ(seen_.size(), static_cast<size_t>(kMostAttempts));
+  EXPECT_TRUE(RunUntil([this] { return !results_.empty(); }));
+  EXPECT_EQ(results_[0], "abandoned");
+  EXPECT_EQ(received_ids_.size(), static_cast<size_t>(kMaxAttempts));
 }
 
-// Guards against a task that is given up for one failure that was told twice: a
-// reward call that is sent again has the same id.
+// Guards against a job that is abandoned because one failed response arrived
+// twice. A reward request that is sent again has the same id, so the second
+// response could be taken for the response to the second request.
 TEST_F(RewardCallerTest, FailureThatIsToldTwiceCountsOnce) {
   const fleet::route common = view_.config.routes[0];
   std::vector<std::unique_ptr<net::stuttering_server>> scorers;
@@ -170,26 +173,27 @@
     const auto task = static_cast<uint32_t>(scorers.size());
     const std::string service = "scorers-" + std::to_string(task);
     AddEndpoint(service, scorers.back()->Address());
-    fleet::route own = common;
-    own.name = service;
-    own.path_prefix = "/" + service + "/";
-    own.services = {{service, 1}};
-    view_.config.routes.push_back(own);
+    fleet::route scorer_route = common;
+    scorer_route.name = service;
+    scorer_route.path_prefix = "/" + service + "/";
+    scorer_route.services = {{service, 1}};
+    view_.config.routes.push_back(scorer_route);
     reward_job job;
     job.key = {"s", task};
-    job.request = {"r" + std::to_string(task), "h", own.path_prefix, "body"};
+    job.request = {"r" + std::to_string(task), "h", scorer_route.path_prefix,
+                   "body"};
     caller_.Add(job);
   }
-  EXPECT_TRUE(RunUntil([&] { return ended_.size() == scorers.size(); }));
-  for (const auto& [task, score] : ended_) EXPECT_EQ(score, "signed") << task;
+  EXPECT_TRUE(RunUntil([&] { return results_.size() == scorers.size(); }));
+  for (const auto& [task, score] : results_) EXPECT_EQ(score, "signed") << task;
 }
 
-// Endpoints say that they are full, for longer than one call may try. Nothing
-// has failed: the call is sent again until there is a place.
+// The endpoint rejects requests because it is full, for longer than one call
+// retries. This is no failure: the request is sent again until a slot is free.
 TEST_F(RewardCallerTest, FullEndpointsAreNoFailure) {
   int refusals = 12;
   StartEndpoint([&refusals](net::exchange& call) -> awaitable<void> {
-    net::response answer = Signed(call.Request(), 200, "mark");
+    net::response answer = SignedResponse(call.Request(), 200, "mark");
     if (refusals-- > 0) {
       answer = net::response{};
       answer.status = 503;
@@ -198,15 +202,15 @@
     co_await call.Reply(std::move(answer));
   });
   Add(0);
-  EXPECT_TRUE(RunUntil([this] { return !ended_.empty(); }));
-  EXPECT_EQ(ended_[0], "mark");
+  EXPECT_TRUE(RunUntil([this] { return !results_.empty(); }));
+  EXPECT_EQ(results_[0], "mark");
 }
 
-// A trainer ends a step while one of its calls is at an endpoint and others
-// wait. The one is cut, the others never reach an endpoint, and the calls of
-// another step go on.
+// A trainer ends a step while some of its requests are at an endpoint and
+// others wait. The sent requests are cancelled, the waiting requests never
+// reach an endpoint, and the requests of another step continue.
 TEST_F(RewardCallerTest, EndedStepReachesNoEndpoint) {
-  bool is_held = true;
+  bool must_wait = true;
   bool was_cut = false;
   StartEndpoint([&](net::exchange& call) -> awaitable<void> {
     struct cut_guard {
@@ -215,65 +219,65 @@
       ~cut_guard() { was_cut |= !is_answered; }
     };
     cut_guard guard{was_cut};
-    while (is_held) {
-      co_await net::Sleep(kTurn);
+    while (must_wait) {
+      co_await net::Sleep(kLoopTurn);
     }
-    net::response answer = Signed(call.Request(), 200, "mark");
+    net::response answer = SignedResponse(call.Request(), 200, "mark");
     co_await call.Reply(std::move(answer));
     guard.is_answered = true;
   });
   for (uint32_t task = 0; task < kSlots; ++task) Add(task, "ended");
-  ASSERT_TRUE(RunUntil([this] { return seen_.size() == kSlots / 2; }));
+  ASSERT_TRUE(RunUntil([this] { return received_ids_.size() == kSlots / 2; }));
   caller_.CancelStep("ended");
-  const size_t seen = seen_.size();
+  const size_t requests_before = received_ids_.size();
   Add(9, "other");
   EXPECT_TRUE(RunUntil([&] { return was_cut; }));
-  is_held = false;
-  EXPECT_TRUE(RunUntil([this] { return ended_.count(9) != 0; }));
-  EXPECT_EQ(ended_.size(), 1U);
-  EXPECT_EQ(seen_.size(), seen + 1);
+  must_wait = false;
+  EXPECT_TRUE(RunUntil([this] { return results_.count(9) != 0; }));
+  EXPECT_EQ(results_.size(), 1U);
+  EXPECT_EQ(received_ids_.size(), requests_before + 1);
 }
 
-// A step ends all its texts at once, more than the endpoints have places. Half
-// of the places stay free for callers that can't wait, and the calls that
-// complete a group go first.
+// All texts of a step become complete at once, and there are more than the
+// endpoints have slots. Half of the slots stay free for callers that can't
+// wait, and the requests that complete a group are sent first.
 TEST_F(RewardCallerTest, HalfOfThePlacesAndFullGroupsFirst) {
   int running = 0;
-  int most = 0;
+  int max_running = 0;
   StartEndpoint([&](net::exchange& call) -> awaitable<void> {
-    most = std::max(most, ++running);
-    co_await net::Sleep(kTurn);
+    max_running = std::max(max_running, ++running);
+    co_await net::Sleep(kLoopTurn);
     --running;
-    net::response answer = Signed(call.Request(), 200, "mark");
+    net::response answer = SignedResponse(call.Request(), 200, "mark");
     co_await call.Reply(std::move(answer));
   });
   for (uint32_t task = 0; task < 12; ++task) {
     open_in_group_[task] = task < 8 ? 3 : 1;
     Add(task);
   }
-  EXPECT_TRUE(RunUntil([this] { return ended_.size() == 12; }));
-  EXPECT_LE(most, kSlots / 2);
+  EXPECT_TRUE(RunUntil([this] { return results_.size() == 12; }));
+  EXPECT_LE(max_running, kSlots / 2);
   for (size_t i = 0; i < 4; ++i) {
-    EXPECT_GE(std::stoi(seen_[i].substr(1)), 8) << seen_[i];
+    EXPECT_GE(std::stoi(received_ids_[i].substr(1)), 8) << received_ids_[i];
   }
 }
 
-// The route of the calls is dropped from the configuration and comes back. The
-// call waits for it in place of failing.
+// The route of a request is removed from the configuration and added again. The
+// request waits for the route and does not fail.
 TEST_F(RewardCallerTest, WaitsForItsRoute) {
   StartEndpoint([](net::exchange& call) -> awaitable<void> {
-    net::response answer = Signed(call.Request(), 200, "mark");
+    net::response answer = SignedResponse(call.Request(), 200, "mark");
     co_await call.Reply(std::move(answer));
   });
   const std::vector<fleet::route> routes = std::move(view_.config.routes);
   view_.config.routes.clear();
   Add(0);
   caller_.SendWaiting();
-  loop_.run_for(kTurn);
-  EXPECT_TRUE(seen_.empty());
+  loop_.run_for(kLoopTurn);
+  EXPECT_TRUE(received_ids_.empty());
   view_.config.routes = routes;
-  EXPECT_TRUE(RunUntil([this] { return !ended_.empty(); }));
-  EXPECT_EQ(ended_[0], "mark");
+  EXPECT_TRUE(RunUntil([this] { return !results_.empty(); }));
+  EXPECT_EQ(results_[0], "mark");
 }
 
 }  // namespace
