--- a/tests/unit/store/runner_book_test.cc
+++ b/tests/unit/store/runner_book_test.cc
@@ -11,7 +11,7 @@
 
 using runs = std::vector<uint64_t>;
 
-orders_request Question(const std::string& runner, uint64_t received,
+orders_request MakePoll(const std::string& runner, uint64_t received,
                         const std::string& session = "one") {
   orders_request input;
   input.runner = runner;
@@ -27,19 +27,19 @@
   return order;
 }
 
-// A book in which "a" has asked once and got runs 1 and 2.
-runner_book MakeBook() {
+// Returns a registry in which runner "a" has polled once and got runs 1 and 2.
+runner_book MakeRegistry() {
   runner_book registry;
-  ApplyPoll(registry, Question("a", 0), kStart);
+  ApplyPoll(registry, MakePoll("a", 0), kStart);
   AddOrder(registry, "a", MakeOrder(1));
   AddOrder(registry, "a", MakeOrder(2));
   MakeAnswer(registry, "a", 7, kStart);
   return registry;
 }
 
-TEST(RunnerBookTest, OrdersAreHandedOverOnce) {
+TEST(RunnerBookTest, OrdersAreSentOnce) {
   runner_book registry;
-  EXPECT_TRUE(ApplyPoll(registry, Question("a", 0), kStart).empty());
+  EXPECT_TRUE(ApplyPoll(registry, MakePoll("a", 0), kStart).empty());
   EXPECT_FALSE(HasOrders(registry, "a"));
   AddOrder(registry, "a", MakeOrder(1));
   ASSERT_TRUE(HasOrders(registry, "a"));
@@ -47,29 +47,30 @@
   EXPECT_EQ(answer.term, 7U);
   ASSERT_EQ(answer.orders.size(), 1U);
   EXPECT_TRUE(
-      ApplyPoll(registry, Question("a", answer.number), kStart).empty());
+      ApplyPoll(registry, MakePoll("a", answer.number), kStart).empty());
   EXPECT_FALSE(HasOrders(registry, "a"));
   EXPECT_TRUE(MakeAnswer(registry, "a", 7, kStart).orders.empty());
 }
 
-// An answer gets lost on its way, and with it two orders. The runner asks again
-// and says that it did not take the answer: its tasks go elsewhere at once.
+// An answer with two orders is lost. The next poll of the runner shows that it
+// did not receive the answer, so the tasks are given to other runners at once.
 TEST(RunnerBookTest, OrdersOfALostAnswerAreLost) {
-  runner_book registry = MakeBook();
-  EXPECT_EQ(ApplyPoll(registry, Question("a", 0), kStart), (runs{1, 2}));
+  runner_book registry = MakeRegistry();
+  EXPECT_EQ(ApplyPoll(registry, MakePoll("a", 0), kStart), (runs{1, 2}));
 }
 
-// A store dies and is there again before its silence was noticed. It knows
-// nothing of its runs, which its new session tells.
+// A store restarts before the leader has detected that it was unreachable. Its
+// new session shows that it has lost its runs.
 TEST(RunnerBookTest, ANewSessionLosesTheRunsOfTheOld) {
-  runner_book registry = MakeBook();
-  EXPECT_EQ(ApplyPoll(registry, Question("a", 0, "two"), kStart), (runs{1, 2}));
+  runner_book registry = MakeRegistry();
+  EXPECT_EQ(ApplyPoll(registry, MakePoll("a", 0, "two"), kStart), (runs{1, 2}));
   EXPECT_TRUE(registry.runners.at("a").runs.empty());
 }
 
-// A store is frozen, or cut from the leader but not from the engines.
+// A store is suspended, or is disconnected from the leader but not from the
+// engines.
 TEST(RunnerBookTest, ASilentRunnerLosesItsRuns) {
-  runner_book registry = MakeBook();
+  runner_book registry = MakeRegistry();
   EXPECT_TRUE(
       RemoveUnreachable(registry, kStart + kRunnerContactTimeout).empty());
   const auto lost_runs = RemoveUnreachable(
@@ -79,17 +80,19 @@
   EXPECT_TRUE(registry.runners.empty());
 }
 
-// It ends its runs before the leader gives them to others: a task that runs
-// twice costs a place that another one could have.
+// A runner that can't reach the leader cancels its runs before the leader gives
+// them to others. A task that runs twice occupies a slot that another task
+// could use.
 TEST(RunnerBookTest, ARunnerGivesUpBeforeItsLeaderDoes) {
   EXPECT_LT(kLeaderContactTimeout, kRunnerContactTimeout);
   EXPECT_LT(kBusyPollWait + kReplyTimeout, kLeaderContactTimeout);
 }
 
-// The process is killed: its connection closes, and nobody waits for silence.
+// The process of a runner is killed and its connection closes. The leader
+// detects this without waiting for the contact timeout.
 TEST(RunnerBookTest, AnAbandonedQuestionIsNoticedSoon) {
-  runner_book registry = MakeBook();
-  ApplyPoll(registry, Question("a", 1), kStart);
+  runner_book registry = MakeRegistry();
+  ApplyPoll(registry, MakePoll("a", 1), kStart);
   EXPECT_TRUE(RemoveUnreachable(registry, kStart + kIdlePollWait).empty());
   OnPollClose(registry, "a", "one", kStart);
   EXPECT_TRUE(RemoveUnreachable(registry, kStart).empty());
@@ -98,10 +101,10 @@
             1U);
 }
 
-// The answer to a set of reports is lost and it comes again: its texts count
-// once. Reports of a session that is over don't count.
+// The reply to a set of reports is lost, and the reports arrive again. They are
+// accepted once. Reports of an ended session are not accepted.
 TEST(RunnerBookTest, ReportsCountOnce) {
-  runner_book registry = MakeBook();
+  runner_book registry = MakeRegistry();
   reports_request input;
   input.runner = "a";
   input.session = "one";
@@ -116,12 +119,12 @@
   EXPECT_FALSE(AcceptReports(registry, input, 7, kStart));
 }
 
-// The leader dies while the first reports to it are under way, and they reach
-// its successor, which has answered a question of the same session. Taken, they
-// would add to the texts of other tasks and use up the number of the first
-// reports that are meant for it.
-TEST(RunnerBookTest, ReportsToALostLeaderAreNotTakenByTheNext) {
-  runner_book registry = MakeBook();
+// The leader fails while the first reports are being sent to it, and they reach
+// its successor, which has answered a poll of the same session. If it accepted
+// them, they would change the texts of other tasks, and the first reports that
+// are meant for the successor would be ignored because their number is used.
+TEST(RunnerBookTest, ReportsToAFailedLeaderAreIgnoredByItsSuccessor) {
+  runner_book registry = MakeRegistry();
   reports_request input;
   input.runner = "a";
   input.session = "one";
@@ -132,19 +135,19 @@
   EXPECT_TRUE(AcceptReports(registry, input, 7, kStart));
 }
 
-TEST(RunnerBookTest, TheFullestOfTheEnginesZoneIsChosen) {
+TEST(RunnerBookTest, RunnerWithMostRunsInTheEnginesZoneIsChosen) {
   runner_book registry;
   for (const std::string runner : {"a", "b", "c"}) {
-    ApplyPoll(registry, Question(runner, 0), kStart);
+    ApplyPoll(registry, MakePoll(runner, 0), kStart);
   }
   AddOrder(registry, "b", MakeOrder(1));
   EXPECT_EQ(ChooseRunner(registry, "z-c", kStart), "c");
   EXPECT_EQ(ChooseRunner(registry, "elsewhere", kStart), "b");
 }
 
-TEST(RunnerBookTest, AFullRunnerGetsNoMore) {
+TEST(RunnerBookTest, FullRunnerIsNotChosen) {
   runner_book registry;
-  ApplyPoll(registry, Question("a", 0), kStart);
+  ApplyPoll(registry, MakePoll("a", 0), kStart);
   for (size_t i = 0; i < kMaxRunsPerRunner; ++i) {
     ASSERT_TRUE(ChooseRunner(registry, "", kStart));
     AddOrder(registry, "a", MakeOrder(i));
@@ -154,11 +157,11 @@
   EXPECT_TRUE(ChooseRunner(registry, "", kStart));
 }
 
-// Leadership is lost and won again while a runner's question waits. The leader
-// has forgotten it by then, and gives it no task until it asks anew: so it must
-// be told, and not be kept waiting.
+// An instance loses leadership and wins it again while a poll of a runner
+// waits. The registry does not contain the runner then, and the leader gives it
+// no task until the next poll. So the waiting poll must be answered at once.
 TEST(RunnerBookTest, AForgottenRunnerIsNotKnown) {
-  runner_book registry = MakeBook();
+  runner_book registry = MakeRegistry();
   EXPECT_TRUE(HasSession(registry, "a", "one"));
   EXPECT_FALSE(HasSession(registry, "a", "two"));
   RemoveRunner(registry, "a");
@@ -166,19 +169,19 @@
   EXPECT_FALSE(ChooseRunner(registry, "", kStart));
 }
 
-// A runner that has its answer and doesn't ask again gets no orders: they would
-// wait for it.
-TEST(RunnerBookTest, WhoDoesNotAskGetsNothing) {
-  runner_book registry = MakeBook();
+// A runner that has got its answer and does not poll again gets no orders,
+// because they would wait for its next poll.
+TEST(RunnerBookTest, RunnerThatDoesNotPollIsNotChosen) {
+  runner_book registry = MakeRegistry();
   EXPECT_TRUE(ChooseRunner(registry, "", kStart));
   EXPECT_FALSE(ChooseRunner(registry, "", kStart + kMaxPollGap));
 }
 
-// A step ends while an order of it waits to be handed over, and another one of
-// its tasks runs already.
-TEST(RunnerBookTest, CancelledOrdersAreNotHandedOver) {
-  runner_book registry = MakeBook();
-  ApplyPoll(registry, Question("a", 1), kStart);
+// A step ends while an order for one of its tasks waits to be sent and another
+// task runs.
+TEST(RunnerBookTest, CancelledOrdersAreNotSent) {
+  runner_book registry = MakeRegistry();
+  ApplyPoll(registry, MakePoll("a", 1), kStart);
   AddOrder(registry, "a", MakeOrder(3));
   CancelRun(registry, "a", 3);
   CancelRun(registry, "a", 1);
@@ -187,7 +190,7 @@
   EXPECT_EQ(answer.cancelled, (runs{1}));
 }
 
-TEST(TaskRunTest, MergedReportsTellAll) {
+TEST(TaskRunTest, MergedReportContainsBothReports) {
   run_report earlier;
   earlier.run = 4;
   earlier.has_head = true;
