--- a/tests/unit/store/step_state_test.cc
+++ b/tests/unit/store/step_state_test.cc
@@ -10,7 +10,7 @@
 namespace hickorywood::store {
 namespace {
 
-constexpr size_t kBudget = 15000;
+constexpr size_t kOutputBudgetBytes = 15000;
 
 group::hosted_command Command(uint64_t index, const std::string& name,
                               std::string payload) {
@@ -45,16 +45,16 @@
   return Command(index, kEndStepCommand, core::EncodeBinary(input));
 }
 
-group::hosted_command Forget(uint64_t index, int64_t ended_before_ms) {
+group::hosted_command RemoveOld(uint64_t index, int64_t ended_before_ms) {
   remove_steps_command input;
   input.ended_before_ms = ended_before_ms;
   return Command(index, kRemoveStepsCommand, core::EncodeBinary(input));
 }
 
-// A day of steps of which the first are forgotten. The snapshot is small, since
-// it stands before the oldest step that is held; with the entries after it
-// another replica gets the same state, results of forgotten steps included in
-// those entries or not.
+// Steps are opened, and the oldest is removed. The snapshot is small, because
+// its index is before the oldest stored step. Another replica gets the same
+// state from the snapshot and the entries after it, also if these entries
+// contain results of removed steps.
 TEST(StepStateTest, SnapshotAndLaterEntriesGiveTheSameState) {
   retire_command retired;
   retired.node = "10.0.0.1:7300";
@@ -66,14 +66,14 @@
       End(5, "a"),
       Open(6, "c"),
       Result(7, "b", std::string(10000, 'b')),
-      Forget(8, 2500)};
-  step_state original(kBudget);
+      RemoveOld(8, 2500)};
+  step_state original(kOutputBudgetBytes);
   for (const group::hosted_command& entry : log) original.Apply(entry);
   ASSERT_EQ(original.Find("a"), nullptr);
   const consensus::saved_state saved = original.Save(log.back().index);
   EXPECT_EQ(saved.index, 2U);
   EXPECT_LT(saved.data.size(), 200U);
-  step_state copy(kBudget);
+  step_state copy(kOutputBudgetBytes);
   ASSERT_TRUE(copy.Restore(saved.data));
   for (const group::hosted_command& entry : log) {
     if (entry.index > saved.index) copy.Apply(entry);
@@ -84,11 +84,11 @@
   EXPECT_TRUE(copy.Find("c")->results.empty());
 }
 
-// Outputs of ended steps beyond the budget are left in the log, the oldest
-// first: a result names its entry, and a page counts it with its size. Those of
-// open steps stay, whatever they take.
+// Outputs of ended steps beyond the budget are evicted from memory, the oldest
+// first. A result then contains the index of its log entry and the size of its
+// output. Outputs of open steps stay in memory, whatever their size.
 TEST(StepStateTest, OldOutputsOfEndedStepsAreLeftOnDisk) {
-  step_state state(kBudget);
+  step_state state(kOutputBudgetBytes);
   uint64_t index = 0;
   for (const char* id : {"open", "old", "new"}) {
     state.Apply(Open(++index, id));
@@ -105,14 +105,15 @@
   EXPECT_EQ(state.Find("open")->results[0].output.size(), 10000U);
 }
 
-// Guards against a text of the same size that is handed out for the one that
-// was left on disk.
-TEST(StepStateTest, OnlyTheOutputThatWasLeftIsTakenBack) {
+// Guards against returning another text of the same size for an output that is
+// only on disk.
+TEST(StepStateTest, OnlyTheOutputOnDiskIsRestored) {
   step_state state(0);
   state.Apply(Open(1, "s"));
   state.Apply(Result(2, "s", "one text"));
   state.Apply(End(3, "s"));
-  steps::result_page page = steps::ReadPage(*state.Find("s"), 0, kBudget);
+  steps::result_page page =
+      steps::ReadPage(*state.Find("s"), 0, kOutputBudgetBytes);
   ASSERT_EQ(page.results.size(), 1U);
   steps::task_result& item = page.results[0];
   EXPECT_FALSE(steps::TakeOutput(item, ""));
@@ -122,13 +123,13 @@
   EXPECT_EQ(item.output, "one text");
 }
 
-// Without steps the snapshot stands where the log ends.
-TEST(StepStateTest, SnapshotOfNoStepsStandsAtTheEnd) {
-  step_state state(kBudget);
+// Without steps the index of the snapshot is the last applied entry.
+TEST(StepStateTest, SnapshotWithoutStepsIsAtTheLastEntry) {
+  step_state state(kOutputBudgetBytes);
   state.Apply(Open(1, "a"));
   EXPECT_EQ(state.Save(4).index, 0U);
   state.Apply(End(2, "a"));
-  state.Apply(Forget(3, 5000));
+  state.Apply(RemoveOld(3, 5000));
   EXPECT_EQ(state.Save(4).index, 4U);
 }
 
