--- a/packages/store/task_key.h
+++ b/packages/store/task_key.h
@@ -6,7 +6,7 @@
 
 namespace hickorywood::store {
 
-// One task of one step.
+// Identifies a task of a step.
 struct task_key {
   std::string step;
   uint32_t task = 0;
