--- a/packages/store/remote_runner.h
+++ b/packages/store/remote_runner.h
@@ -28,8 +28,8 @@
 
 class remote_runner {
  public:
-  // `is_leader` returns whether this store is the leader. It does not poll
-  // then.
+  // `is_leader` returns whether this store is the leader. While it is, it does
+  // not poll for orders.
   remote_runner(boost::asio::io_context& loop, const core::runtime_clock& clock,
                 net::connection_pool& pool, const fleet::protocol& wire,
                 peering::leader_caller& leader, remote_runner_options options,
--- a/packages/store/reward_caller.h
+++ b/packages/store/reward_caller.h
@@ -71,7 +71,7 @@
     int64_t failures = 0;  // answers that count as a failed attempt
     core::time_point not_before{};
     bool is_sent = false;       // the request is being sent
-    net::cancel_signal cancel;  // of that send
+    net::cancel_signal cancel;  // of that request
   };
   struct route_state {
     int64_t running = 0;
--- a/packages/store/step_service.cc
+++ b/packages/store/step_service.cc
@@ -28,7 +28,8 @@
 constexpr milliseconds kHousePeriod{500};
 // Period of the commands that remove old steps. Each command costs a disk sync.
 constexpr std::chrono::seconds kStepRemovalPeriod{10};
-// Maximum size of the outputs in one page of results.
+// Maximum size of the outputs in one page of results. Further results are in
+// the next page.
 constexpr uint64_t kMaxPageBytes = 1000 * 1000;
 // The same for a page that is read from disk. A log entry contains results of
 // several steps, so a few times this size is decoded, which takes a small
