--- a/packages/store/store_instance.cc
+++ b/packages/store/store_instance.cc
@@ -29,8 +29,9 @@
 using core::milliseconds;
 
 constexpr char kGroupName[] = "data";
-// Time for a hand-over to reach the successor before the listener closes.
-constexpr milliseconds kHandOverTime{300};
+// Time for a leadership transfer to reach the successor before the listener
+// closes.
+constexpr milliseconds kLeadershipTransferTime{300};
 
 peering::follower_options FollowerOptions(
     const settings::node_settings& settings) {
@@ -48,7 +49,7 @@
 step_service_options ServiceOptions(const settings::node_settings& settings) {
   step_service_options options;
   options.step_retention = settings.step_retention;
-  options.least_stores = settings.DataVoters();
+  options.min_stores = settings.DataVoters();
   return options;
 }
 
@@ -80,17 +81,18 @@
         peers(io, peering::PeerListenerOptions(node.peers_address),
               [this](net::exchange& call) { return ServePeer(call); }) {
     group.on_leadership = [this](bool is_leader) {
-      has_steps_to_note = is_leader;
+      must_log_loaded_steps = is_leader;
       dispatch.OnLeadership(is_leader);
       service.OnChange();
     };
     group.on_applied = [this] {
-      NoteStepsHeld();
+      LogLoadedSteps();
       service.OnChange();
       dispatch.OnApplied();
     };
     group.on_failure = [this] { loop.stop(); };
-    // Followers too: a new leader must know at once which engine has what.
+    // Followers request the weights too, because a new leader needs the weights
+    // of all engines at once.
     follower.WantWeights(true);
     follower.TellDemands([this] { return dispatch.Demands(); });
     follower.OnChange([this] { OnView(); });
@@ -108,11 +110,12 @@
     dispatch.OnView();
   }
 
-  // After a loss of disks it tells a step that is gone from one that nobody
-  // finds. Only a leader that serves has applied all that was accepted.
-  void NoteStepsHeld() {
-    if (!has_steps_to_note || !group.IsServing()) return;
-    has_steps_to_note = false;
+  // Logs the steps that a new leader has loaded. After a loss of disks the
+  // entry shows whether a missing step was lost or is just not found. Only a
+  // leader that serves has applied all accepted commands.
+  void LogLoadedSteps() {
+    if (!must_log_loaded_steps || !group.IsServing()) return;
+    must_log_loaded_steps = false;
     size_t ended = 0;
     size_t results = 0;
     for (const auto& [id, step] : state.Steps()) {
@@ -149,7 +152,7 @@
     dispatch.OnLeadership(false);
     runner.Stop();
     group.HandOver();
-    co_await net::Sleep(kHandOverTime);
+    co_await net::Sleep(kLeadershipTransferTime);
     peers.StopAccepting();
     LogEvent(event_id::kProcessStopped, {{"instance", settings.id}});
     loop.stop();
@@ -166,10 +169,10 @@
   quarantine::crash_watch crashes;
   routing::request_sender sender;
   dispatcher dispatch;
-  peering::leader_caller leader;  // of the data group
+  peering::leader_caller leader;  // calls the leader of the data group
   remote_runner runner;
   net::listener peers;
-  bool has_steps_to_note = false;
+  bool must_log_loaded_steps = false;
 };
 
 store_instance::store_instance(asio::io_context& loop,
--- a/tests/unit/store/runner_book_test.cc
+++ b/tests/unit/store/runner_book_test.cc
@@ -11,7 +11,7 @@
 
 using runs = std::vector<uint64_t>;
 
-orders_request Question(const std::string& runner, uint64_t received,
+orders_request MakePoll(const std::string& runner, uint64_t received,
                         const std::string& session = "one") {
   orders_request input;
   input.runner = runner;
@@ -27,162 +27,170 @@
   return order;
 }
 
-// A book in which "a" has asked once and got runs 1 and 2.
-runner_book MakeBook() {
-  runner_book book;
-  TakeQuestion(book, Question("a", 0), kStart);
-  AddOrder(book, "a", MakeOrder(1));
-  AddOrder(book, "a", MakeOrder(2));
-  MakeAnswer(book, "a", 7, kStart);
-  return book;
+// Returns a registry in which runner "a" has polled once and got runs 1 and 2.
+runner_book MakeRegistry() {
+  runner_book registry;
+  ApplyPoll(registry, MakePoll("a", 0), kStart);
+  AddOrder(registry, "a", MakeOrder(1));
+  AddOrder(registry, "a", MakeOrder(2));
+  MakeAnswer(registry, "a", 7, kStart);
+  return registry;
 }
 
-TEST(RunnerBookTest, OrdersAreHandedOverOnce) {
-  runner_book book;
-  EXPECT_TRUE(TakeQuestion(book, Question("a", 0), kStart).empty());
-  EXPECT_FALSE(HasOrders(book, "a"));
-  AddOrder(book, "a", MakeOrder(1));
-  ASSERT_TRUE(HasOrders(book, "a"));
-  const orders_answer answer = MakeAnswer(book, "a", 7, kStart);
+TEST(RunnerBookTest, OrdersAreSentOnce) {
+  runner_book registry;
+  EXPECT_TRUE(ApplyPoll(registry, MakePoll("a", 0), kStart).empty());
+  EXPECT_FALSE(HasOrders(registry, "a"));
+  AddOrder(registry, "a", MakeOrder(1));
+  ASSERT_TRUE(HasOrders(registry, "a"));
+  const orders_answer answer = MakeAnswer(registry, "a", 7, kStart);
   EXPECT_EQ(answer.term, 7U);
   ASSERT_EQ(answer.orders.size(), 1U);
-  EXPECT_TRUE(TakeQuestion(book, Question("a", answer.number), kStart).empty());
-  EXPECT_FALSE(HasOrders(book, "a"));
-  EXPECT_TRUE(MakeAnswer(book, "a", 7, kStart).orders.empty());
+  EXPECT_TRUE(
+      ApplyPoll(registry, MakePoll("a", answer.number), kStart).empty());
+  EXPECT_FALSE(HasOrders(registry, "a"));
+  EXPECT_TRUE(MakeAnswer(registry, "a", 7, kStart).orders.empty());
 }
 
-// An answer gets lost on its way, and with it two orders. The runner asks again
-// and says that it did not take the answer: its tasks go elsewhere at once.
+// An answer with two orders is lost. The next poll of the runner shows that it
+// did not receive the answer, so the tasks are given to other runners at once.
 TEST(RunnerBookTest, OrdersOfALostAnswerAreLost) {
-  runner_book book = MakeBook();
-  EXPECT_EQ(TakeQuestion(book, Question("a", 0), kStart), (runs{1, 2}));
+  runner_book registry = MakeRegistry();
+  EXPECT_EQ(ApplyPoll(registry, MakePoll("a", 0), kStart), (runs{1, 2}));
 }
 
-// A store dies and is there again before its silence was noticed. It knows
-// nothing of its runs, which its new session tells.
+// A store restarts before the leader has detected that it was unreachable. Its
+// new session shows that it has lost its runs.
 TEST(RunnerBookTest, ANewSessionLosesTheRunsOfTheOld) {
-  runner_book book = MakeBook();
-  EXPECT_EQ(TakeQuestion(book, Question("a", 0, "two"), kStart), (runs{1, 2}));
-  EXPECT_TRUE(book.runners.at("a").runs.empty());
+  runner_book registry = MakeRegistry();
+  EXPECT_EQ(ApplyPoll(registry, MakePoll("a", 0, "two"), kStart), (runs{1, 2}));
+  EXPECT_TRUE(registry.runners.at("a").runs.empty());
 }
 
-// A store is frozen, or cut from the leader but not from the engines.
+// A store is suspended, or is disconnected from the leader but not from the
+// engines.
 TEST(RunnerBookTest, ASilentRunnerLosesItsRuns) {
-  runner_book book = MakeBook();
-  EXPECT_TRUE(LoseSilent(book, kStart + kRunnerSilence).empty());
-  const auto lost = LoseSilent(book, kStart + kRunnerSilence + milliseconds(1));
-  ASSERT_EQ(lost.count("a"), 1U);
-  EXPECT_EQ(lost.at("a"), (runs{1, 2}));
-  EXPECT_TRUE(book.runners.empty());
-}
-
-// It ends its runs before the leader gives them to others: a task that runs
-// twice costs a place that another one could have.
+  runner_book registry = MakeRegistry();
+  EXPECT_TRUE(
+      RemoveUnreachable(registry, kStart + kRunnerContactTimeout).empty());
+  const auto lost_runs = RemoveUnreachable(
+      registry, kStart + kRunnerContactTimeout + milliseconds(1));
+  ASSERT_EQ(lost_runs.count("a"), 1U);
+  EXPECT_EQ(lost_runs.at("a"), (runs{1, 2}));
+  EXPECT_TRUE(registry.runners.empty());
+}
+
+// A runner that can't reach the leader cancels its runs before the leader gives
+// them to others. A task that runs twice occupies a slot that another task
+// could use.
 TEST(RunnerBookTest, ARunnerGivesUpBeforeItsLeaderDoes) {
-  EXPECT_LT(kLeaderSilence, kRunnerSilence);
-  EXPECT_LT(kBusyWait + kAnswerSlack, kLeaderSilence);
+  EXPECT_LT(kLeaderContactTimeout, kRunnerContactTimeout);
+  EXPECT_LT(kBusyPollWait + kReplyTimeout, kLeaderContactTimeout);
 }
 
-// The process is killed: its connection closes, and nobody waits for silence.
+// The process of a runner is killed and its connection closes. The leader
+// detects this without waiting for the contact timeout.
 TEST(RunnerBookTest, AnAbandonedQuestionIsNoticedSoon) {
-  runner_book book = MakeBook();
-  TakeQuestion(book, Question("a", 1), kStart);
-  EXPECT_TRUE(LoseSilent(book, kStart + kIdleWait).empty());
-  NoteAbandoned(book, "a", "one", kStart);
-  EXPECT_TRUE(LoseSilent(book, kStart).empty());
-  EXPECT_EQ(LoseSilent(book, kStart + kRunnerGap + milliseconds(1)).size(), 1U);
-}
-
-// The answer to a set of reports is lost and it comes again: its texts count
-// once. Reports of a session that is over don't count.
+  runner_book registry = MakeRegistry();
+  ApplyPoll(registry, MakePoll("a", 1), kStart);
+  EXPECT_TRUE(RemoveUnreachable(registry, kStart + kIdlePollWait).empty());
+  OnPollClose(registry, "a", "one", kStart);
+  EXPECT_TRUE(RemoveUnreachable(registry, kStart).empty());
+  EXPECT_EQ(RemoveUnreachable(registry, kStart + kMaxPollGap + milliseconds(1))
+                .size(),
+            1U);
+}
+
+// The reply to a set of reports is lost, and the reports arrive again. They are
+// accepted once. Reports of an ended session are not accepted.
 TEST(RunnerBookTest, ReportsCountOnce) {
-  runner_book book = MakeBook();
+  runner_book registry = MakeRegistry();
   reports_request input;
   input.runner = "a";
   input.session = "one";
   input.number = 1;
   input.term = 7;
-  EXPECT_TRUE(TakeReports(book, input, 7, kStart));
-  EXPECT_FALSE(TakeReports(book, input, 7, kStart));
+  EXPECT_TRUE(AcceptReports(registry, input, 7, kStart));
+  EXPECT_FALSE(AcceptReports(registry, input, 7, kStart));
   input.number = 2;
-  EXPECT_TRUE(TakeReports(book, input, 7, kStart));
+  EXPECT_TRUE(AcceptReports(registry, input, 7, kStart));
   input.number = 3;
   input.session = "two";
-  EXPECT_FALSE(TakeReports(book, input, 7, kStart));
+  EXPECT_FALSE(AcceptReports(registry, input, 7, kStart));
 }
 
-// The leader dies while the first reports to it are under way, and they reach
-// its successor, which has answered a question of the same session. Taken, they
-// would add to the texts of other tasks and use up the number of the first
-// reports that are meant for it.
-TEST(RunnerBookTest, ReportsToALostLeaderAreNotTakenByTheNext) {
-  runner_book book = MakeBook();
+// The leader fails while the first reports are being sent to it, and they reach
+// its successor, which has answered a poll of the same session. If it accepted
+// them, they would change the texts of other tasks, and the first reports that
+// are meant for the successor would be ignored because their number is used.
+TEST(RunnerBookTest, ReportsToAFailedLeaderAreIgnoredByItsSuccessor) {
+  runner_book registry = MakeRegistry();
   reports_request input;
   input.runner = "a";
   input.session = "one";
   input.number = 1;
   input.term = 6;
-  EXPECT_FALSE(TakeReports(book, input, 7, kStart));
+  EXPECT_FALSE(AcceptReports(registry, input, 7, kStart));
   input.term = 7;
-  EXPECT_TRUE(TakeReports(book, input, 7, kStart));
+  EXPECT_TRUE(AcceptReports(registry, input, 7, kStart));
 }
 
-TEST(RunnerBookTest, TheFullestOfTheEnginesZoneIsChosen) {
-  runner_book book;
+TEST(RunnerBookTest, RunnerWithMostRunsInTheEnginesZoneIsChosen) {
+  runner_book registry;
   for (const std::string runner : {"a", "b", "c"}) {
-    TakeQuestion(book, Question(runner, 0), kStart);
+    ApplyPoll(registry, MakePoll(runner, 0), kStart);
   }
-  AddOrder(book, "b", MakeOrder(1));
-  EXPECT_EQ(ChooseRunner(book, "z-c", kStart), "c");
-  EXPECT_EQ(ChooseRunner(book, "elsewhere", kStart), "b");
+  AddOrder(registry, "b", MakeOrder(1));
+  EXPECT_EQ(ChooseRunner(registry, "z-c", kStart), "c");
+  EXPECT_EQ(ChooseRunner(registry, "elsewhere", kStart), "b");
 }
 
-TEST(RunnerBookTest, AFullRunnerGetsNoMore) {
-  runner_book book;
-  TakeQuestion(book, Question("a", 0), kStart);
-  for (size_t i = 0; i < kMostRunsOfRunner; ++i) {
-    ASSERT_TRUE(ChooseRunner(book, "", kStart));
-    AddOrder(book, "a", MakeOrder(i));
+TEST(RunnerBookTest, FullRunnerIsNotChosen) {
+  runner_book registry;
+  ApplyPoll(registry, MakePoll("a", 0), kStart);
+  for (size_t i = 0; i < kMaxRunsPerRunner; ++i) {
+    ASSERT_TRUE(ChooseRunner(registry, "", kStart));
+    AddOrder(registry, "a", MakeOrder(i));
   }
-  EXPECT_FALSE(ChooseRunner(book, "", kStart));
-  NoteOver(book, "a", 0);
-  EXPECT_TRUE(ChooseRunner(book, "", kStart));
+  EXPECT_FALSE(ChooseRunner(registry, "", kStart));
+  RemoveEndedRun(registry, "a", 0);
+  EXPECT_TRUE(ChooseRunner(registry, "", kStart));
 }
 
-// Leadership is lost and won again while a runner's question waits. The leader
-// has forgotten it by then, and gives it no task until it asks anew: so it must
-// be told, and not be kept waiting.
+// An instance loses leadership and wins it again while a poll of a runner
+// waits. The registry does not contain the runner then, and the leader gives it
+// no task until the next poll. So the waiting poll must be answered at once.
 TEST(RunnerBookTest, AForgottenRunnerIsNotKnown) {
-  runner_book book = MakeBook();
-  EXPECT_TRUE(IsKnown(book, "a", "one"));
-  EXPECT_FALSE(IsKnown(book, "a", "two"));
-  LoseRunner(book, "a");
-  EXPECT_FALSE(IsKnown(book, "a", "one"));
-  EXPECT_FALSE(ChooseRunner(book, "", kStart));
-}
-
-// A runner that has its answer and doesn't ask again gets no orders: they would
-// wait for it.
-TEST(RunnerBookTest, WhoDoesNotAskGetsNothing) {
-  runner_book book = MakeBook();
-  EXPECT_TRUE(ChooseRunner(book, "", kStart));
-  EXPECT_FALSE(ChooseRunner(book, "", kStart + kRunnerGap));
-}
-
-// A step ends while an order of it waits to be handed over, and another one of
-// its tasks runs already.
-TEST(RunnerBookTest, CancelledOrdersAreNotHandedOver) {
-  runner_book book = MakeBook();
-  TakeQuestion(book, Question("a", 1), kStart);
-  AddOrder(book, "a", MakeOrder(3));
-  CancelRun(book, "a", 3);
-  CancelRun(book, "a", 1);
-  const orders_answer answer = MakeAnswer(book, "a", 7, kStart);
+  runner_book registry = MakeRegistry();
+  EXPECT_TRUE(HasSession(registry, "a", "one"));
+  EXPECT_FALSE(HasSession(registry, "a", "two"));
+  RemoveRunner(registry, "a");
+  EXPECT_FALSE(HasSession(registry, "a", "one"));
+  EXPECT_FALSE(ChooseRunner(registry, "", kStart));
+}
+
+// A runner that has got its answer and does not poll again gets no orders,
+// because they would wait for its next poll.
+TEST(RunnerBookTest, RunnerThatDoesNotPollIsNotChosen) {
+  runner_book registry = MakeRegistry();
+  EXPECT_TRUE(ChooseRunner(registry, "", kStart));
+  EXPECT_FALSE(ChooseRunner(registry, "", kStart + kMaxPollGap));
+}
+
+// A step ends while an order for one of its tasks waits to be sent and another
+// task runs.
+TEST(RunnerBookTest, CancelledOrdersAreNotSent) {
+  runner_book registry = MakeRegistry();
+  ApplyPoll(registry, MakePoll("a", 1), kStart);
+  AddOrder(registry, "a", MakeOrder(3));
+  CancelRun(registry, "a", 3);
+  CancelRun(registry, "a", 1);
+  const orders_answer answer = MakeAnswer(registry, "a", 7, kStart);
   EXPECT_TRUE(answer.orders.empty());
   EXPECT_EQ(answer.cancelled, (runs{1}));
 }
 
-TEST(TaskRunTest, MergedReportsTellAll) {
+TEST(TaskRunTest, MergedReportContainsBothReports) {
   run_report earlier;
   earlier.run = 4;
   earlier.has_head = true;
