--- a/packages/quarantine/crash_ledger.cc
+++ b/packages/quarantine/crash_ledger.cc
@@ -10,49 +10,54 @@
 using core::time_point;
 using std::chrono::seconds;
 
-// Ends from which on a request is named to others: it is one end away.
-constexpr size_t kEndsToWarn = 2;
-// Ends that are kept of one request. More tell nothing new.
-constexpr size_t kMostEndsKept = 16;
-// Ends that are remembered as forgiven, so that late news of them don't count.
-constexpr size_t kMostForgiven = 64;
-// Part of a customer's suspects that makes room at once.
-constexpr size_t kEvictedPart = 16;
-// Doublings of the quarantine; the bound of its length is reached before.
+// Crashes from which on other processes are warned of a request: one more crash
+// quarantines it.
+constexpr size_t kMinCrashesToWarn = 2;
+// Crashes that are stored for one request. Further ones would not change a
+// decision.
+constexpr size_t kMaxStoredCrashes = 16;
+// Cleared crashes that are stored for one request, so that late reports of them
+// don't count.
+constexpr size_t kMaxClearedCrashes = 64;
+// Eviction removes this fraction (1/n) of one customer's requests at once.
+constexpr size_t kEvictionDivisor = 16;
+// Limits the shift below; `max_duration` is reached before.
 constexpr int kMostDoublings = 16;
 
-bool IsAmong(const std::vector<std::string>& ends,
-             const std::string& incarnation) {
-  return std::find(ends.begin(), ends.end(), incarnation) != ends.end();
+bool Contains(const std::vector<std::string>& crashes,
+              const std::string& incarnation) {
+  return std::find(crashes.begin(), crashes.end(), incarnation) !=
+         crashes.end();
 }
 
-bool Holds(const suspect& item, const std::string& incarnation) {
-  return IsAmong(item.ends, incarnation);
+bool HasCrash(const suspect& item, const std::string& incarnation) {
+  return Contains(item.ends, incarnation);
 }
 
-void Unindex(crash_ledger& ledger, const std::string& digest,
-             const std::string& incarnation) {
-  const auto found = ledger.by_end.find(incarnation);
-  if (found == ledger.by_end.end()) return;
+void RemoveFromIndex(crash_ledger& ledger, const std::string& digest,
+                     const std::string& incarnation) {
+  const auto found = ledger.by_crash.find(incarnation);
+  if (found == ledger.by_crash.end()) return;
   found->second.erase(digest);
-  if (found->second.empty()) ledger.by_end.erase(found);
+  if (found->second.empty()) ledger.by_crash.erase(found);
 }
 
-void Erase(crash_ledger& ledger, const std::string& digest) {
+void Remove(crash_ledger& ledger, const std::string& digest) {
   const auto found = ledger.suspects.find(digest);
   if (found == ledger.suspects.end()) return;
-  for (const std::string& end : found->second.ends) {
-    Unindex(ledger, digest, end);
+  for (const std::string& incarnation : found->second.ends) {
+    RemoveFromIndex(ledger, digest, incarnation);
   }
   ledger.suspects.erase(found);
 }
 
-// Makes room for one more. Of the customer that has most suspects those that
-// tell least go: first what nothing counts against any more, then what has the
-// fewest ends and is oldest. So a customer with ever new requests pushes out
-// its own. A share at a time, since finding them goes over the whole book.
-void MakeRoom(crash_ledger& ledger) {
-  if (ledger.suspects.size() < ledger.options.most_requests) return;
+// Makes room for one more request. Evicts requests of the customer that has the
+// most: first those that are not quarantined, of these the ones with the fewest
+// crashes (none, if all were cleared), then the oldest. So a customer that
+// keeps sending new requests evicts only its own. Evicts several requests at a
+// time, since finding them scans the whole ledger.
+void EvictIfFull(crash_ledger& ledger) {
+  if (ledger.suspects.size() < ledger.options.max_requests) return;
   std::map<std::string_view, size_t> counts;
   for (const auto& item : ledger.suspects) ++counts[item.second.customer];
   const auto most = std::max_element(counts.begin(), counts.end(),
@@ -67,93 +72,99 @@
                        digest);
   }
   std::sort(ranks.begin(), ranks.end());
-  const size_t leaving = std::max<size_t>(1, ranks.size() / kEvictedPart);
-  for (size_t i = 0; i < leaving; ++i) Erase(ledger, std::get<3>(ranks[i]));
+  const size_t evicted = std::max<size_t>(1, ranks.size() / kEvictionDivisor);
+  for (size_t i = 0; i < evicted; ++i) Remove(ledger, std::get<3>(ranks[i]));
 }
 
-void AddEnd(crash_ledger& ledger, const std::string& digest, suspect& item,
-            const std::string& incarnation) {
-  if (item.ends.size() >= kMostEndsKept) {
-    Unindex(ledger, digest, item.ends.front());
+void AddCrash(crash_ledger& ledger, const std::string& digest, suspect& item,
+              const std::string& incarnation) {
+  if (item.ends.size() >= kMaxStoredCrashes) {
+    RemoveFromIndex(ledger, digest, item.ends.front());
     item.ends.erase(item.ends.begin());
   }
   item.ends.push_back(incarnation);
-  ledger.by_end[incarnation].insert(digest);
+  ledger.by_crash[incarnation].insert(digest);
 }
 
-// Ends that no other quarantined request explains. One explains an end that it
-// saw too, if it has seen more ends: the victims of a request see some of its
-// ends, and it sees them all.
-size_t UnexplainedEnds(const crash_ledger& ledger, const std::string& digest,
-                       const suspect& item) {
+// Crashes that no other quarantined request explains. A request explains a
+// crash that it shares if it has more crashes: the cause was running at each of
+// its crashes, the other requests only at some of them.
+size_t CountUnexplainedCrashes(const crash_ledger& ledger,
+                               const std::string& digest, const suspect& item) {
   const auto explains = [&](const std::string& other) {
     const suspect& cause = ledger.suspects.at(other);
     return other != digest && cause.is_quarantined &&
            cause.ends.size() > item.ends.size();
   };
   return static_cast<size_t>(std::count_if(
-      item.ends.begin(), item.ends.end(), [&](const std::string& end) {
-        const std::set<std::string>& seen = ledger.by_end.at(end);
-        return std::none_of(seen.begin(), seen.end(), explains);
+      item.ends.begin(), item.ends.end(), [&](const std::string& incarnation) {
+        const std::set<std::string>& digests = ledger.by_crash.at(incarnation);
+        return std::none_of(digests.begin(), digests.end(), explains);
       }));
 }
 
-// Other requests that saw at least one of the same ends.
-std::set<std::string> Companions(const crash_ledger& ledger,
-                                 const std::string& digest,
-                                 const suspect& item) {
-  std::set<std::string> companions;
-  for (const std::string& end : item.ends) {
-    const std::set<std::string>& seen = ledger.by_end.at(end);
-    companions.insert(seen.begin(), seen.end());
+// Other requests that share at least one crash with this one.
+std::set<std::string> FindRequestsWithSharedCrash(const crash_ledger& ledger,
+                                                  const std::string& digest,
+                                                  const suspect& item) {
+  std::set<std::string> others;
+  for (const std::string& incarnation : item.ends) {
+    const std::set<std::string>& digests = ledger.by_crash.at(incarnation);
+    others.insert(digests.begin(), digests.end());
   }
-  companions.erase(digest);
-  return companions;
+  others.erase(digest);
+  return others;
 }
 
-seconds LengthOf(const ledger_options& options, const suspect& item) {
+seconds NextQuarantineDuration(const ledger_options& options,
+                               const suspect& item) {
   const int doublings = std::min(item.quarantines, kMostDoublings);
-  return std::min(options.longest, options.length * (1 << doublings));
+  return std::min(options.max_duration,
+                  options.base_duration * (1 << doublings));
 }
 
 void Quarantine(crash_ledger& ledger, suspect& item, time_point now) {
-  item.length = LengthOf(ledger.options, item);
+  item.duration = NextQuarantineDuration(ledger.options, item);
   item.is_quarantined = true;
-  item.until = now + item.length;
+  item.quarantined_until = now + item.duration;
   ++item.quarantines;
 }
 
-// Nothing tells which of two requests with the same ends is the cause, so both
-// are held back only for a short time; the cause then has one end more.
-void ShortenWhereInDoubt(crash_ledger& ledger, const std::string& digest,
-                         suspect& item, time_point now) {
-  const auto shorten = [&](suspect& held) {
-    const bool is_first = held.quarantines == 1;
-    if (!is_first || held.length == ledger.options.doubtful_length) return;
-    held.length = ledger.options.doubtful_length;
-    held.until = now + held.length;
+// Of two requests with the same crashes either can be the cause, so both are
+// quarantined for a short time only. After that the cause gets one crash more
+// than the other request.
+void ShortenIfAmbiguous(crash_ledger& ledger, const std::string& digest,
+                        suspect& item, time_point now) {
+  const auto shorten = [&](suspect& entry) {
+    const bool is_first = entry.quarantines == 1;
+    if (!is_first || entry.duration == ledger.options.short_duration) return;
+    entry.duration = ledger.options.short_duration;
+    entry.quarantined_until = now + entry.duration;
   };
-  const std::set<std::string> ends(item.ends.begin(), item.ends.end());
-  for (const std::string& other : Companions(ledger, digest, item)) {
-    suspect& companion = ledger.suspects.at(other);
-    const std::set<std::string> seen(companion.ends.begin(),
-                                     companion.ends.end());
-    if (!companion.is_quarantined || seen != ends) continue;
-    shorten(companion);
+  const std::set<std::string> crashes(item.ends.begin(), item.ends.end());
+  for (const std::string& other :
+       FindRequestsWithSharedCrash(ledger, digest, item)) {
+    suspect& other_request = ledger.suspects.at(other);
+    const std::set<std::string> other_crashes(other_request.ends.begin(),
+                                              other_request.ends.end());
+    if (!other_request.is_quarantined || other_crashes != crashes) continue;
+    shorten(other_request);
     shorten(item);
   }
 }
 
-void ReleaseVictims(crash_ledger& ledger, const std::string& digest,
-                    const suspect& cause, time_point now,
-                    std::vector<standing_change>& changes) {
-  for (const std::string& other : Companions(ledger, digest, cause)) {
-    suspect& companion = ledger.suspects.at(other);
-    if (!companion.is_quarantined) continue;
-    const size_t left = UnexplainedEnds(ledger, other, companion);
-    if (left >= ledger.options.most_ends) continue;
-    companion.is_quarantined = false;
-    companion.changed_at = now;
+void ReleaseExplainedRequests(crash_ledger& ledger, const std::string& digest,
+                              const suspect& cause, time_point now,
+                              std::vector<standing_change>& changes) {
+  for (const std::string& other :
+       FindRequestsWithSharedCrash(ledger, digest, cause)) {
+    suspect& other_request = ledger.suspects.at(other);
+    if (!other_request.is_quarantined) continue;
+    const size_t remaining =
+        CountUnexplainedCrashes(ledger, other, other_request);
+    if (remaining >= ledger.options.most_ends) continue;
+    other_request.is_quarantined = false;
+    other_request.changed_at = now;
     changes.push_back({other, false, release_reason::kExplained});
   }
 }
@@ -166,12 +177,12 @@
       return "served";
     case release_reason::kOperator:
       return "lifted by an operator";
-    case release_reason::kOver:
-      return "its time has passed";
+    case release_reason::kExpired:
+      return "the quarantine expired";
     case release_reason::kExplained:
-      return "another request explains its ends";
-    case release_reason::kForgiven:
-      return "another instance knows that its ends don't count";
+      return "its crashes are attributed to another request";
+    case release_reason::kCleared:
+      return "another instance cleared its crashes";
   }
   return "";
 }
@@ -180,28 +191,30 @@
                                      const fleet::crash_report& report,
                                      time_point now) {
   std::vector<standing_change> changes;
-  const auto known = ledger.suspects.find(report.digest);
-  if (known != ledger.suspects.end()) {
-    const bool is_old = known->second.forgiven.count(report.incarnation) != 0 ||
-                        Holds(known->second, report.incarnation);
-    if (is_old) return changes;
+  const auto existing = ledger.suspects.find(report.digest);
+  if (existing != ledger.suspects.end()) {
+    const bool is_recorded =
+        existing->second.cleared.count(report.incarnation) != 0 ||
+        HasCrash(existing->second, report.incarnation);
+    if (is_recorded) return changes;
   } else {
-    MakeRoom(ledger);
+    EvictIfFull(ledger);
   }
   suspect& item = ledger.suspects[report.digest];
   item.customer = report.customer;
   item.changed_at = now;
-  AddEnd(ledger, report.digest, item, report.incarnation);
-  const bool is_due =
+  AddCrash(ledger, report.digest, item, report.incarnation);
+  const bool must_quarantine =
       !item.is_quarantined &&
-      UnexplainedEnds(ledger, report.digest, item) >= ledger.options.most_ends;
-  if (is_due) {
+      CountUnexplainedCrashes(ledger, report.digest, item) >=
+          ledger.options.most_ends;
+  if (must_quarantine) {
     Quarantine(ledger, item, now);
-    ShortenWhereInDoubt(ledger, report.digest, item, now);
+    ShortenIfAmbiguous(ledger, report.digest, item, now);
     changes.push_back({report.digest, true});
   }
   if (item.is_quarantined) {
-    ReleaseVictims(ledger, report.digest, item, now, changes);
+    ReleaseExplainedRequests(ledger, report.digest, item, now, changes);
   }
   return changes;
 }
@@ -212,10 +225,10 @@
   const auto found = ledger.suspects.find(digest);
   if (found == ledger.suspects.end()) return {};
   suspect& item = found->second;
-  if (item.forgiven.size() >= kMostForgiven) item.forgiven.clear();
-  for (const std::string& end : item.ends) {
-    Unindex(ledger, digest, end);
-    item.forgiven.insert(end);
+  if (item.cleared.size() >= kMaxClearedCrashes) item.cleared.clear();
+  for (const std::string& incarnation : item.ends) {
+    RemoveFromIndex(ledger, digest, incarnation);
+    item.cleared.insert(incarnation);
   }
   item.ends.clear();
   item.changed_at = now;
@@ -227,14 +240,14 @@
 
 namespace {
 
-// Takes one end off what counts.
-void ForgiveEnd(crash_ledger& ledger, const std::string& digest, suspect& item,
-                const std::string& end) {
-  if (item.forgiven.size() >= kMostForgiven) item.forgiven.clear();
-  item.forgiven.insert(end);
-  if (!Holds(item, end)) return;
-  Unindex(ledger, digest, end);
-  std::erase(item.ends, end);
+// Clears one crash of a request.
+void ClearCrash(crash_ledger& ledger, const std::string& digest, suspect& item,
+                const std::string& incarnation) {
+  if (item.cleared.size() >= kMaxClearedCrashes) item.cleared.clear();
+  item.cleared.insert(incarnation);
+  if (!HasCrash(item, incarnation)) return;
+  RemoveFromIndex(ledger, digest, incarnation);
+  std::erase(item.ends, incarnation);
 }
 
 }  // namespace
@@ -242,41 +255,44 @@
 std::vector<standing_change> Forgive(crash_ledger& ledger,
                                      const fleet::forgiven_ends& input,
                                      time_point now) {
-  if (ledger.suspects.count(input.digest) == 0) MakeRoom(ledger);
+  if (ledger.suspects.count(input.digest) == 0) EvictIfFull(ledger);
   suspect& item = ledger.suspects[input.digest];
   item.customer = input.customer;
   item.changed_at = now;
-  for (const std::string& end : input.ends) {
-    ForgiveEnd(ledger, input.digest, item, end);
+  for (const std::string& incarnation : input.ends) {
+    ClearCrash(ledger, input.digest, item, incarnation);
   }
-  const bool stays =
-      UnexplainedEnds(ledger, input.digest, item) >= ledger.options.most_ends;
-  if (!item.is_quarantined || stays) return {};
+  const bool stays_quarantined =
+      CountUnexplainedCrashes(ledger, input.digest, item) >=
+      ledger.options.most_ends;
+  if (!item.is_quarantined || stays_quarantined) return {};
   item.is_quarantined = false;
-  return {{input.digest, false, release_reason::kForgiven}};
+  return {{input.digest, false, release_reason::kCleared}};
 }
 
 std::vector<standing_change> Expire(crash_ledger& ledger, time_point now) {
   std::vector<standing_change> changes;
-  std::vector<std::string> forgotten;
+  std::vector<std::string> expired;
   for (auto& [digest, item] : ledger.suspects) {
     if (item.is_quarantined) {
-      if (now < item.until) continue;
+      if (now < item.quarantined_until) continue;
       item.is_quarantined = false;
       item.changed_at = now;
-      changes.push_back({digest, false, release_reason::kOver});
+      changes.push_back({digest, false, release_reason::kExpired});
       continue;
     }
-    // As long again as it was held back, or the next end would begin anew.
-    const seconds memory = std::max(ledger.options.memory, item.length);
-    // Who did not hear that its ends don't count goes on counting them for one
-    // quarantine and this memory.
-    const bool is_forgiven = item.ends.empty();
-    if (now - item.changed_at >= (is_forgiven ? 2 * memory : memory)) {
-      forgotten.push_back(digest);
+    // At least as long as the last quarantine, or the next crash would begin
+    // with the shortest quarantine again.
+    const seconds retention = std::max(ledger.options.retention, item.duration);
+    // A process that missed the clearing of crashes counts them for one more
+    // quarantine and this retention time.
+    const bool has_only_cleared = item.ends.empty();
+    if (now - item.changed_at >=
+        (has_only_cleared ? 2 * retention : retention)) {
+      expired.push_back(digest);
     }
   }
-  for (const std::string& digest : forgotten) Erase(ledger, digest);
+  for (const std::string& digest : expired) Remove(ledger, digest);
   return changes;
 }
 
@@ -285,11 +301,11 @@
   const auto found = ledger.suspects.find(digest);
   if (found == ledger.suspects.end()) return request_standing::kClear;
   const suspect& item = found->second;
-  if (item.is_quarantined && now < item.until) {
+  if (item.is_quarantined && now < item.quarantined_until) {
     return request_standing::kQuarantined;
   }
-  return item.ends.size() >= kEndsToWarn ? request_standing::kSuspected
-                                         : request_standing::kClear;
+  return item.ends.size() >= kMinCrashesToWarn ? request_standing::kSuspected
+                                               : request_standing::kClear;
 }
 
 bool HasHead(const crash_ledger& ledger, const std::string& head) {
@@ -305,42 +321,44 @@
 std::vector<fleet::request_warning> ListWarnings(const crash_ledger& ledger) {
   std::vector<fleet::request_warning> list;
   for (const auto& [digest, item] : ledger.suspects) {
-    if (item.ends.size() < kEndsToWarn && item.forgiven.size() < kEndsToWarn) {
+    if (item.ends.size() < kMinCrashesToWarn &&
+        item.cleared.size() < kMinCrashesToWarn) {
       continue;
     }
     list.push_back({digest,
                     item.customer,
                     item.ends,
                     item.is_quarantined,
-                    item.length.count(),
+                    item.duration.count(),
                     item.quarantines,
-                    {item.forgiven.begin(), item.forgiven.end()}});
+                    {item.cleared.begin(), item.cleared.end()}});
   }
   return list;
 }
 
 void Adopt(crash_ledger& ledger, const fleet::request_warning& warning,
            time_point now) {
-  if (ledger.suspects.count(warning.digest) == 0) MakeRoom(ledger);
+  if (ledger.suspects.count(warning.digest) == 0) EvictIfFull(ledger);
   suspect& item = ledger.suspects[warning.digest];
-  for (const std::string& end : warning.forgiven) {
-    ForgiveEnd(ledger, warning.digest, item, end);
+  for (const std::string& incarnation : warning.forgiven) {
+    ClearCrash(ledger, warning.digest, item, incarnation);
   }
-  const bool knows_less = std::any_of(item.ends.begin(), item.ends.end(),
-                                      [&warning](const std::string& end) {
-                                        return !IsAmong(warning.ends, end);
-                                      });
+  const bool lacks_crashes =
+      std::any_of(item.ends.begin(), item.ends.end(),
+                  [&warning](const std::string& incarnation) {
+                    return !Contains(warning.ends, incarnation);
+                  });
   item.customer = warning.customer;
-  for (const std::string& end : warning.ends) {
-    item.forgiven.erase(end);
-    if (!Holds(item, end)) AddEnd(ledger, warning.digest, item, end);
+  for (const std::string& crash : warning.ends) {
+    item.cleared.erase(crash);
+    if (!HasCrash(item, crash)) AddCrash(ledger, warning.digest, item, crash);
   }
   item.changed_at = now;
-  const bool stays = item.is_quarantined && knows_less;
-  if (stays && !warning.is_quarantined) return;
+  const bool stays_quarantined = item.is_quarantined && lacks_crashes;
+  if (stays_quarantined && !warning.is_quarantined) return;
   item.is_quarantined = warning.is_quarantined;
-  item.length = seconds(warning.length_s);
-  item.until = now + item.length;
+  item.duration = seconds(warning.length_s);
+  item.quarantined_until = now + item.duration;
   item.quarantines = static_cast<int>(warning.quarantines);
 }
 
--- a/packages/quarantine/crash_ledger.h
+++ b/packages/quarantine/crash_ledger.h
@@ -1,16 +1,17 @@
 #ifndef HICKORYWOOD_QUARANTINE_CRASH_LEDGER_H_
 #define HICKORYWOOD_QUARANTINE_CRASH_LEDGER_H_
 
-// Which requests are to blame for endpoints that ended. The control leader
-// keeps one ledger for the deployment; each process that sends requests keeps a
-// copy with what it has seen itself, so that it decides also without a leader.
-// Plain data and decisions, no I/O.
+// Decides which requests are the suspected cause of endpoint crashes. The
+// control leader has one ledger for the deployment. Each process that sends
+// requests has a copy with the crashes that it detected itself, so that it can
+// decide without a leader as well. Plain data and decisions, no I/O.
 //
-// A request that takes its endpoint down takes down whatever runs beside it
-// too, and a victim that is sent again can meet it a second time. So each end
-// counts against every request that was running there, and a victim is told
-// from the cause by what happens next: it is served somewhere, or the ends that
-// it saw are explained by a request that saw more of them.
+// When a request crashes its endpoint, the other requests that were running
+// there fail too. When they are sent again, they can run next to the same cause
+// a second time. So each crash is attributed to every request that was running
+// on the endpoint. A request turns out not to be the cause when an endpoint
+// serves it, or when its crashes are explained by another request that has more
+// of them.
 
 #include <chrono>
 #include <cstddef>
@@ -25,104 +26,115 @@
 namespace hickorywood::quarantine {
 
 struct ledger_options {
-  // Endpoints that may end under a request before it is held back. One or two
-  // happen to victims of a lost rack, which are sent again and meet the next
-  // loss.
+  // Crashes under a request from which on it is quarantined. With one or two,
+  // the loss of a rack would quarantine innocent requests: they are sent again
+  // and run into the next crash of the same rack.
   size_t most_ends = 3;
-  // Long enough that a client that tries all day costs few endpoints, and short
-  // enough that an endpoint's repair is found without an operator.
-  std::chrono::seconds length{600};
-  // Where several requests saw the same ends, so that some are victims: soon
-  // enough to serve them while their clients still care.
-  std::chrono::seconds doubtful_length{60};
-  // Each further quarantine of a request is twice as long as the one before, up
-  // to this.
-  std::chrono::seconds longest{24 * 3600};
-  // How long ends count after the latest of them, or after a quarantine. Well
-  // above the time in which a client tries again.
-  std::chrono::seconds memory{600};
-  // Requests in the book: about 6 MB.
-  size_t most_requests = 4096;
+  // Duration of a first quarantine. Long enough that a client that retries all
+  // day crashes few endpoints, and short enough that requests are served soon
+  // after the endpoint is fixed, without an operator.
+  std::chrono::seconds base_duration{600};
+  // Duration where several requests have the same crashes, so that some of them
+  // are not the cause. Short enough to serve those while their clients still
+  // wait.
+  std::chrono::seconds short_duration{60};
+  // Each further quarantine of a request lasts twice as long as the previous
+  // one, up to this maximum.
+  std::chrono::seconds max_duration{24 * 3600};
+  // How long crashes count after the latest of them, or after a quarantine.
+  // Well above the time after which a client retries.
+  std::chrono::seconds retention{600};
+  // Requests in the ledger: about 6 MB.
+  size_t max_requests = 4096;
 };
 
 struct suspect {
   std::string customer;
-  std::vector<std::string> ends;   // starts that ended under it, oldest first
-  std::set<std::string> forgiven;  // of before it was served or lifted
-  core::time_point changed_at{};   // the latest end, or its release
+  // Incarnations that crashed under the request, oldest first.
+  std::vector<std::string> ends;
+  // Incarnations whose crashes no longer count: the request was served or
+  // released after them.
+  std::set<std::string> cleared;
+  core::time_point changed_at{};  // latest crash or release
   bool is_quarantined = false;
-  core::time_point until{};  // of the quarantine
-  std::chrono::seconds length{0};
-  int quarantines = 0;
+  core::time_point quarantined_until{};
+  std::chrono::seconds duration{0};  // of the latest quarantine
+  int quarantines = 0;               // so far; 0 again after a release
 };
 
 struct crash_ledger {
   ledger_options options;
-  std::map<std::string, suspect> suspects;              // by digest
-  std::map<std::string, std::set<std::string>> by_end;  // digests by start
+  std::map<std::string, suspect> suspects;  // by digest
+  // Digests by the incarnation that crashed.
+  std::map<std::string, std::set<std::string>> by_crash;
 };
 
 enum class request_standing {
   kClear,
-  // One more end quarantines it: it is sent to one endpoint, without a copy.
+  // One more crash quarantines the request: it is sent to one endpoint only,
+  // without a hedge.
   kSuspected,
   kQuarantined,
 };
 
 enum class release_reason {
-  kServed,     // an endpoint served it and outlived it
-  kOperator,   // lifted by hand
-  kOver,       // the quarantine's time has passed
-  kExplained,  // its ends are those of another request
-  kForgiven,   // another instance knows that its ends don't count
+  kServed,     // an endpoint served it and kept running
+  kOperator,   // released by an operator
+  kExpired,    // the quarantine expired
+  kExplained,  // its crashes are attributed to another request
+  kCleared,    // another instance cleared its crashes
 };
 const char* WordOf(release_reason reason);
 
-// A quarantine that began or ended.
+// A quarantine began or ended.
 struct standing_change {
   std::string digest;
   bool is_quarantined = false;
-  release_reason reason = release_reason::kOver;  // of one that ended
+  release_reason reason = release_reason::kExpired;  // if it ended
 };
 
-// An endpoint ended under a request. What was told before changes nothing.
+// Records that an endpoint crashed under a request. A report that was recorded
+// before changes nothing.
 std::vector<standing_change> NoteEnd(crash_ledger& ledger,
                                      const fleet::crash_report& report,
                                      core::time_point now);
 
-// Takes all ends of a request as not its doing. Those that are told again later
-// don't count.
+// Clears all crashes of a request. Later reports of the same crashes don't
+// count.
 std::vector<standing_change> Release(crash_ledger& ledger,
                                      const std::string& digest,
                                      release_reason reason,
                                      core::time_point now);
 
-// Takes these ends as not a request's doing.
+// Clears the listed crashes of a request.
 std::vector<standing_change> Forgive(crash_ledger& ledger,
                                      const fleet::forgiven_ends& input,
                                      core::time_point now);
 
-// Ends quarantines whose time has passed, and forgets old ends. A request whose
-// quarantine is over stays suspected: one more end begins the next.
+// Ends quarantines whose time is up and removes requests with old crashes. A
+// request whose quarantine expired stays suspected: one more crash begins the
+// next quarantine.
 std::vector<standing_change> Expire(crash_ledger& ledger, core::time_point now);
 
 request_standing StandingOf(const crash_ledger& ledger,
                             const std::string& digest, core::time_point now);
 
-// Whether the book has a request whose digest begins so.
+// Whether the ledger has a request whose digest begins with `head`.
 bool HasHead(const crash_ledger& ledger, const std::string& head);
 
-// Whether any end counts against the request.
+// Whether any crash is attributed to the request.
 bool HasEnds(const crash_ledger& ledger, const std::string& digest);
 
-// What others are told, by digest: all but requests with a single end, which
-// each loss of an endpoint leaves behind. Also ends that were forgiven: who did
-// not hear of it would count them again.
+// The warnings that other processes receive, ordered by digest. Requests with a
+// single crash are left out, since every crash of an endpoint leaves many of
+// them. The warnings include cleared crashes, because a process that missed the
+// clearing would count them again.
 std::vector<fleet::request_warning> ListWarnings(const crash_ledger& ledger);
 
-// Takes the word of the control leader. Its quarantine counts anew from here.
-// That it has none counts only where it knows all that is known here: a new
-// leader may have heard of some ends and not of others.
+// Merges a warning of the control leader. The duration of its quarantine is
+// counted from now. A warning without a quarantine ends the quarantine of this
+// ledger only if it lists all crashes that this ledger has: a new leader may
+// have received some reports and not others.
 void Adopt(crash_ledger& ledger, const fleet::request_warning& warning,
            core::time_point now);
 
--- a/packages/quarantine/crash_watch.cc
+++ b/packages/quarantine/crash_watch.cc
@@ -287,7 +287,7 @@
       outbox_.reports.push_back({digest, item.customer, end});
     }
     fleet::forgiven_ends forgiven{digest, item.customer, {}};
-    for (const std::string& end : item.forgiven) {
+    for (const std::string& end : item.cleared) {
       if (!IsAmong(known.forgiven, end)) forgiven.ends.push_back(end);
     }
     if (forgiven.ends.empty()) continue;
--- a/packages/quarantine/standing_log.cc
+++ b/packages/quarantine/standing_log.cc
@@ -19,13 +19,13 @@
                {{"digest", item.digest}, {"reason", WordOf(item.reason)}});
       continue;
     }
-    const suspect& held = ledger.suspects.at(item.digest);
+    const suspect& quarantined = ledger.suspects.at(item.digest);
     LogEvent(event_id::kRequestQuarantined,
              {{"digest", item.digest},
-              {"customer", held.customer},
-              {"endpoints", absl::StrJoin(held.ends, " ")},
-              {"seconds", std::to_string(held.length.count())},
-              {"quarantines", std::to_string(held.quarantines)}});
+              {"customer", quarantined.customer},
+              {"endpoints", absl::StrJoin(quarantined.ends, " ")},
+              {"seconds", std::to_string(quarantined.duration.count())},
+              {"quarantines", std::to_string(quarantined.quarantines)}});
   }
 }
 
--- a/packages/quarantine/verdict.cc
+++ b/packages/quarantine/verdict.cc
@@ -21,7 +21,7 @@
   found.standing = StandingOf(ledger, digest, now);
   if (found.standing == request_standing::kQuarantined) {
     found.left = std::chrono::ceil<core::milliseconds>(
-        ledger.suspects.at(digest).until - now);
+        ledger.suspects.at(digest).quarantined_until - now);
   }
   return found;
 }
--- a/tests/unit/quarantine/crash_ledger_test.cc
+++ b/tests/unit/quarantine/crash_ledger_test.cc
@@ -135,32 +135,32 @@
 TEST_F(CrashLedgerTest, RequestsWithTheSameEndsAreHeldBackForAShortTime) {
   EndAll("one", {"a", "b", "c"});
   EndAll("other", {"a", "b", "c"});
-  Pass(ledger_.options.doubtful_length);
+  Pass(ledger_.options.short_duration);
   EXPECT_FALSE(IsQuarantined("one"));
   EXPECT_FALSE(IsQuarantined("other"));
   Release(ledger_, "one", release_reason::kServed, now_);
   End("other", "d");
   EXPECT_TRUE(IsQuarantined("other"));
-  Pass(ledger_.options.doubtful_length);
+  Pass(ledger_.options.short_duration);
   EXPECT_TRUE(IsQuarantined("other"));
 }
 
 TEST_F(CrashLedgerTest, EachFurtherQuarantineIsLonger) {
   EndAll("cause", {"a", "b", "c"});
-  Pass(ledger_.options.length);
+  Pass(ledger_.options.base_duration);
   EXPECT_EQ(Standing("cause"), request_standing::kSuspected);
   End("cause", "d");
-  Pass(ledger_.options.length);
+  Pass(ledger_.options.base_duration);
   EXPECT_TRUE(IsQuarantined("cause"));
-  Pass(ledger_.options.length);
+  Pass(ledger_.options.base_duration);
   EXPECT_FALSE(IsQuarantined("cause"));
 }
 
 TEST_F(CrashLedgerTest, OldEndsAreForgotten) {
   EndAll("cause", {"a", "b"});
-  Pass(ledger_.options.memory);
+  Pass(ledger_.options.retention);
   EXPECT_FALSE(HasEnds(ledger_, "cause"));
-  EXPECT_TRUE(ledger_.by_end.empty());
+  EXPECT_TRUE(ledger_.by_crash.empty());
 }
 
 TEST_F(CrashLedgerTest, SuccessorOfTheLeaderHoldsTheSameBack) {
@@ -192,18 +192,18 @@
 // its bound, and what others are held back for stays in it.
 TEST_F(CrashLedgerTest, HostileCustomerPushesOutOnlyItsOwn) {
   constexpr int kRequests = 100000;
-  ledger_.options.most_requests = 256;
+  ledger_.options.max_requests = 256;
   NoteEnd(ledger_, {"known", "other", "a"}, now_);
   NoteEnd(ledger_, {"known", "other", "b"}, now_);
   NoteEnd(ledger_, {"known", "other", "c"}, now_);
   NoteEnd(ledger_, {"single", "other", "d"}, now_);
   for (int i = 0; i < kRequests; ++i) {
     End("hostile-" + std::to_string(i), "e" + std::to_string(i));
-    ASSERT_LE(ledger_.suspects.size(), ledger_.options.most_requests);
+    ASSERT_LE(ledger_.suspects.size(), ledger_.options.max_requests);
   }
   EXPECT_TRUE(IsQuarantined("known"));
   EXPECT_TRUE(HasEnds(ledger_, "single"));
-  EXPECT_LE(ledger_.by_end.size(), ledger_.options.most_requests + 3);
+  EXPECT_LE(ledger_.by_crash.size(), ledger_.options.max_requests + 3);
 }
 
 // Whatever comes in whichever order: a request that nothing serves is held back
@@ -211,7 +211,7 @@
 // with the suspects.
 RC_GTEST_PROP(CrashLedgerProperty, IndexAgreesAndCausesAreFound, ()) {
   crash_ledger ledger;
-  ledger.options.most_requests = 8;
+  ledger.options.max_requests = 8;
   core::time_point now{seconds(1000)};
   const int steps = *rc::gen::inRange(1, 200);
   for (int i = 0; i < steps; ++i) {
@@ -229,9 +229,9 @@
         NoteEnd(ledger, {digest, "c" + digest, end}, now);
         break;
     }
-    RC_ASSERT(ledger.suspects.size() <= ledger.options.most_requests);
+    RC_ASSERT(ledger.suspects.size() <= ledger.options.max_requests);
     size_t indexed = 0;
-    for (const auto& [incarnation, digests] : ledger.by_end) {
+    for (const auto& [incarnation, digests] : ledger.by_crash) {
       RC_ASSERT(!digests.empty());
       indexed += digests.size();
     }
@@ -239,7 +239,7 @@
     for (const auto& [name, item] : ledger.suspects) {
       held += item.ends.size();
       for (const std::string& one : item.ends) {
-        RC_ASSERT(ledger.by_end.at(one).count(name) == 1U);
+        RC_ASSERT(ledger.by_crash.at(one).count(name) == 1U);
       }
     }
     RC_ASSERT(indexed == held);
