--- a/packages/quarantine/request_digest.cc
+++ b/packages/quarantine/request_digest.cc
@@ -13,11 +13,11 @@
 namespace hickorywood::quarantine {
 namespace {
 
-// Two requests out of 2^64 would have to meet for one to be taken for the
-// other.
+// 128 bits, so that a collision of two digests is not to be expected below
+// about 2^64 requests.
 constexpr size_t kDigestBytes = 16;
-// Enough to be rare among the requests that are suspected at one time.
-constexpr size_t kHeadBytes = 8;
+// Enough that hardly any request has the prefix of a suspected one by chance.
+constexpr size_t kPrefixBytes = 8;
 
 using mac_state = std::unique_ptr<EVP_MAC_CTX, decltype(&EVP_MAC_CTX_free)>;
 
@@ -28,11 +28,11 @@
 mac_state StartMac(std::string_view key) {
   static EVP_MAC* const kAlgorithm = EVP_MAC_fetch(nullptr, "HMAC", nullptr);
   char hash[] = "SHA256";
-  const std::array<OSSL_PARAM, 2> terms = {
+  const std::array<OSSL_PARAM, 2> parameters = {
       OSSL_PARAM_construct_utf8_string(OSSL_MAC_PARAM_DIGEST, hash, 0),
       OSSL_PARAM_construct_end()};
   mac_state state(EVP_MAC_CTX_new(kAlgorithm), &EVP_MAC_CTX_free);
-  EVP_MAC_init(state.get(), BytesOf(key.data()), key.size(), terms.data());
+  EVP_MAC_init(state.get(), BytesOf(key.data()), key.size(), parameters.data());
   return state;
 }
 
@@ -40,7 +40,8 @@
   EVP_MAC_update(state.get(), BytesOf(&number), sizeof number);
 }
 
-// The length goes before the bytes, so that no two sets of fields read alike.
+// The length precedes the bytes, so that no two lists of fields have the same
+// encoding.
 void AddField(const mac_state& state, std::string_view field) {
   AddNumber(state, field.size());
   EVP_MAC_update(state.get(), BytesOf(field.data()), field.size());
@@ -55,12 +56,12 @@
   return state;
 }
 
-std::string Finish(const mac_state& state, size_t bytes) {
-  std::array<unsigned char, EVP_MAX_MD_SIZE> whole{};
+std::string FinishMac(const mac_state& state, size_t bytes) {
+  std::array<unsigned char, EVP_MAX_MD_SIZE> mac{};
   size_t size = 0;
-  EVP_MAC_final(state.get(), whole.data(), &size, whole.size());
-  const std::string cut(reinterpret_cast<const char*>(whole.data()), bytes);
-  return absl::BytesToHexString(cut);
+  EVP_MAC_final(state.get(), mac.data(), &size, mac.size());
+  const std::string truncated(reinterpret_cast<const char*>(mac.data()), bytes);
+  return absl::BytesToHexString(truncated);
 }
 
 }  // namespace
@@ -71,13 +72,13 @@
 }
 
 std::string DigestHeadOf(std::string_view key, const request_identity& input) {
-  return Finish(StartDigest(key, input), kHeadBytes);
+  return FinishMac(StartDigest(key, input), kPrefixBytes);
 }
 
 std::string DigestOf(std::string_view key, const request_identity& input) {
   const mac_state state = StartDigest(key, input);
   AddField(state, input.body);
-  return DigestHeadOf(key, input) + Finish(state, kDigestBytes);
+  return DigestHeadOf(key, input) + FinishMac(state, kDigestBytes);
 }
 
 }  // namespace hickorywood::quarantine
--- a/packages/quarantine/request_digest.h
+++ b/packages/quarantine/request_digest.h
@@ -1,8 +1,8 @@
 #ifndef HICKORYWOOD_QUARANTINE_REQUEST_DIGEST_H_
 #define HICKORYWOOD_QUARANTINE_REQUEST_DIGEST_H_
 
-// Names a request by what it asks for, so that it is known again when its
-// caller sends it once more, under another id and through another instance.
+// Identifies a request by its content, so that it is recognized when its caller
+// sends it again under another id and through another instance.
 
 #include <string>
 #include <string_view>
@@ -11,9 +11,8 @@
 
 namespace hickorywood::quarantine {
 
-// What makes two requests the same one. Its id, its deadline and the headers
-// that endpoints are told of are left out: a caller that tries again changes
-// them.
+// The parts that make two requests the same. The id, the deadline and the
+// headers for endpoints are left out, since a caller that retries changes them.
 struct request_identity {
   std::string_view customer;  // compared without case
   std::string_view method;
@@ -21,19 +20,19 @@
   std::string_view body;
 };
 
-// Of a request as its caller sent it, or as it goes to an endpoint: the
-// customer is the host that it is addressed to.
+// Identity of a request as its caller sent it, or as it is sent to an endpoint:
+// the customer is the value of the Host header.
 request_identity IdentityOf(const net::request& input);
 
-// Digests are HMAC-SHA256 under a key that only the system's instances hold.
-// Bodies can be short or known, so a plain hash in a log or a message would let
-// anyone who reads it guess them.
+// Digests are HMAC-SHA256 under a key that only the system's instances have.
+// Bodies can be short or predictable, so anyone who reads a plain hash in a log
+// or a message could guess them.
 
-// The head of a digest, 16 hex digits, of all but the body's bytes: its size
-// stands for them. Tells most requests apart without reading their bodies.
+// Prefix of a digest, 16 hex digits. It covers the size of the body, but not
+// its content, and distinguishes most requests without reading their bodies.
 std::string DigestHeadOf(std::string_view key, const request_identity& input);
 
-// 48 hex digits: the head, and 128 bits of the whole.
+// 48 hex digits: the prefix, and 128 bits that cover the body as well.
 std::string DigestOf(std::string_view key, const request_identity& input);
 
 }  // namespace hickorywood::quarantine
