--- a/packages/quarantine/standing_log.h
+++ b/packages/quarantine/standing_log.h
@@ -7,7 +7,7 @@
 
 namespace hickorywood::quarantine {
 
-// Logs quarantines that began or ended in `ledger`, an event each.
+// Logs an event for each quarantine in `ledger` that began or ended.
 void LogChanges(const crash_ledger& ledger,
                 const std::vector<standing_change>& changes);
 
--- a/packages/quarantine/verdict.cc
+++ b/packages/quarantine/verdict.cc
@@ -16,14 +16,14 @@
 
 verdict CheckDigest(const crash_ledger& ledger, const std::string& digest,
                     core::time_point now) {
-  verdict found;
-  found.digest = digest;
-  found.standing = StandingOf(ledger, digest, now);
-  if (found.standing == request_standing::kQuarantined) {
-    found.left = std::chrono::ceil<core::milliseconds>(
+  verdict decision;
+  decision.digest = digest;
+  decision.standing = StandingOf(ledger, digest, now);
+  if (decision.standing == request_standing::kQuarantined) {
+    decision.left = std::chrono::ceil<core::milliseconds>(
         ledger.suspects.at(digest).quarantined_until - now);
   }
-  return found;
+  return decision;
 }
 
 }  // namespace hickorywood::quarantine
--- a/packages/quarantine/verdict.h
+++ b/packages/quarantine/verdict.h
@@ -1,7 +1,7 @@
 #ifndef HICKORYWOOD_QUARANTINE_VERDICT_H_
 #define HICKORYWOOD_QUARANTINE_VERDICT_H_
 
-// Whether a request may be sent, by what a ledger holds.
+// Decides from a ledger whether a request may be sent.
 
 #include <chrono>
 #include <string>
@@ -13,20 +13,20 @@
 
 namespace hickorywood::quarantine {
 
-// How a request stands.
+// State of one request.
 struct verdict {
   request_standing standing = request_standing::kClear;
-  std::string
-      digest;  // empty: it is no request of the ledger, so none was made
-  core::milliseconds left{0};  // of its quarantine
+  // Empty: the request is not in the ledger, so its digest was not computed.
+  std::string digest;
+  core::milliseconds left{0};  // until the quarantine ends
 };
 
-// Whether the request can be one of those in the ledger. A body can have
-// megabytes, and most requests are told from those by the rest.
+// Whether the request can be one of those in the ledger, by the prefix of its
+// digest. Avoids hashing bodies, which can have megabytes, for most requests.
 bool MayBeKnown(const crash_ledger& ledger, std::string_view key,
                 const request_identity& input);
 
-// `key`: of the digests.
+// `key` is the key of the digests.
 verdict Check(const crash_ledger& ledger, std::string_view key,
               const request_identity& input, core::time_point now);
 verdict CheckDigest(const crash_ledger& ledger, const std::string& digest,
