--- a/packages/quarantine/crash_watch.cc
+++ b/packages/quarantine/crash_watch.cc
@@ -18,26 +18,27 @@
 using core::milliseconds;
 using core::time_point;
 
-// A sound endpoint accepts within a few ms, also from another zone.
+// A healthy endpoint accepts a connection within a few ms, also from another
+// zone.
 constexpr milliseconds kProbeTimeout{300};
-// A process that ends closes its connections and its listening socket one after
-// the other.
-constexpr int kProbes = 2;
+// A process that terminates closes its connections and its listening socket one
+// after the other, so the first probe may still succeed.
+constexpr int kProbeCount = 2;
 constexpr milliseconds kProbePause{100};
-// One that listens again at the second probe has started anew, and its
-// heartbeat comes within about a second, or has never ended.
-constexpr milliseconds kSuccessorTime{3000};
-// An endpoint without power shows its end only by its next start, which comes
-// and is heard of within seconds.
-constexpr milliseconds kRestartTime{10000};
-// Pause before the leader is told again after a try that failed.
-constexpr milliseconds kTellPause{100};
+// An endpoint that accepts the second probe either has not crashed, or has
+// restarted already; then its heartbeat arrives within about a second.
+constexpr milliseconds kSuccessorTimeout{3000};
+// The crash of an endpoint that lost power is detected only when it restarts
+// and sends a heartbeat, which takes seconds.
+constexpr milliseconds kRestartWindow{10000};
+// Pause after a failed attempt to send an update to the leader.
+constexpr milliseconds kSendRetryPause{100};
 constexpr std::chrono::seconds kHousePeriod{10};
-// Ends that wait to be told: about 100 KB, which each instance may send to a
+// Reports that wait to be sent: about 100 KB, which each instance may send to a
 // new leader.
 constexpr size_t kMostReports = 1024;
-// Requests that are named for one end: more than endpoints run at once. Bounds
-// what a caller with many connections can make an instance remember.
+// Requests that are stored for one crash: more than endpoints run at once.
+// Limits the memory that a caller with many connections can use.
 constexpr size_t kMostRequests = 256;
 
 const fleet::endpoint* FindEndpoint(const fleet::view& view,
@@ -52,8 +53,10 @@
   return is_listed ? &*found : nullptr;
 }
 
-bool IsAmong(const std::vector<std::string>& ends, const std::string& end) {
-  return std::find(ends.begin(), ends.end(), end) != ends.end();
+bool Has(const std::vector<std::string>& crashes,
+         const std::string& incarnation) {
+  return std::find(crashes.begin(), crashes.end(), incarnation) !=
+         crashes.end();
 }
 
 }  // namespace
@@ -61,20 +64,18 @@
 crash_watch::crash_watch(asio::io_context& loop,
                          const core::runtime_clock& clock,
                          net::connection_pool& pool, const fleet::view& view,
-                         teller tell)
+                         update_sender send_update)
     : loop_(loop),
       clock_(clock),
       pool_(pool),
       view_(view),
-      tell_(std::move(tell)) {}
+      send_update_(std::move(send_update)) {}
 
 void crash_watch::Start() {
   asio::co_spawn(loop_, KeepTelling(), asio::detached);
   asio::co_spawn(loop_, KeepHouse(), asio::detached);
 }
 
-// --- What may be sent.
-
 std::string crash_watch::DigestOf(const request_identity& input) const {
   const std::string& key = view_.members.digest_key;
   return key.empty() ? "" : quarantine::DigestOf(key, input);
@@ -95,128 +96,134 @@
   if (!HasEnds(ledger_, digest)) return;
   Release(ledger_, digest, release_reason::kServed, clock_.Now());
   outbox_.served.push_back(digest);
-  outbox_filled_.Notify();
+  outbox_changed_.Notify();
 }
 
-// --- What has ended.
-
-// Whether a later start has the place of one that is gone from the list.
-bool crash_watch::HasSuccessor(const fleet::endpoint& gone) const {
-  return FindEndpoint(view_, gone.incarnation) == nullptr &&
+// Whether an endpoint that is no longer listed was replaced by a later
+// incarnation.
+bool crash_watch::HasSuccessor(const fleet::endpoint& previous) const {
+  return FindEndpoint(view_, previous.incarnation) == nullptr &&
          std::any_of(view_.endpoints.begin(), view_.endpoints.end(),
-                     [&gone](const fleet::endpoint& item) {
-                       return item.address == gone.address ||
-                              item.name == gone.name;
+                     [&previous](const fleet::endpoint& item) {
+                       return item.address == previous.address ||
+                              item.name == previous.name;
                      });
 }
 
-// One that said that it is going may end at any time.
+// An endpoint that is draining or has left may terminate at any time; that is
+// not a crash.
 bool crash_watch::IsLeaving(const fleet::endpoint& target) const {
   const fleet::endpoint* const listed = FindEndpoint(view_, target.incarnation);
   return listed == nullptr ? !HasSuccessor(target)
                            : listed->state == fleet::endpoint_state::kDraining;
 }
 
-void crash_watch::AddSilent(const fleet::endpoint& target, victim item) {
-  silent_endpoint& entry = silent_[target.incarnation];
+void crash_watch::AddUnresponsive(const fleet::endpoint& target,
+                                  affected_request item) {
+  unresponsive_endpoint& entry = unresponsive_[target.incarnation];
   entry.endpoint = target;
-  if (entry.victims.size() >= kMostRequests) return;
-  entry.victims.emplace_back(std::move(item), clock_.Now() + kRestartTime);
+  if (entry.requests.size() >= kMostRequests) return;
+  entry.requests.emplace_back(std::move(item), clock_.Now() + kRestartWindow);
 }
 
 void crash_watch::NoteGivenUp(const request_identity& input,
                               const fleet::endpoint& target) {
   std::string digest = DigestOf(input);
   if (digest.empty() || IsLeaving(target)) return;
-  ForgetSound();
-  AddSilent(target, {std::move(digest), std::string(input.customer)});
-  if (HasSuccessor(target)) NoteEnded(target.incarnation);
+  RemoveExpiredEntries();
+  AddUnresponsive(target, {std::move(digest), std::string(input.customer)});
+  if (HasSuccessor(target)) HandleCrash(target.incarnation);
 }
 
 void crash_watch::NoteBroken(const request_identity& input,
                              const fleet::endpoint& target) {
   const std::string digest = DigestOf(input);
   if (digest.empty() || IsLeaving(target)) return;
-  ForgetSound();
-  broken_endpoint& entry = broken_[target.incarnation];
-  if (!entry.is_probed) entry = {target};
-  const bool is_known = std::any_of(
-      entry.victims.begin(), entry.victims.end(),
-      [&digest](const victim& item) { return item.digest == digest; });
-  if (!is_known && entry.victims.size() < kMostRequests) {
-    entry.victims.push_back({digest, std::string(input.customer)});
+  RemoveExpiredEntries();
+  disconnected_endpoint& entry = disconnected_[target.incarnation];
+  if (!entry.is_probing) entry = {target};
+  const bool is_recorded =
+      std::any_of(entry.requests.begin(), entry.requests.end(),
+                  [&digest](const affected_request& item) {
+                    return item.digest == digest;
+                  });
+  if (!is_recorded && entry.requests.size() < kMostRequests) {
+    entry.requests.push_back({digest, std::string(input.customer)});
   }
   if (HasSuccessor(target)) {
-    NoteEnded(target.incarnation);
+    HandleCrash(target.incarnation);
     return;
   }
-  if (entry.is_probed) return;
-  entry.is_probed = true;
-  entry.give_up_at = clock_.Now() + kSuccessorTime;
+  if (entry.is_probing) return;
+  entry.is_probing = true;
+  entry.expires_at = clock_.Now() + kSuccessorTimeout;
   asio::co_spawn(loop_, Probe(target.incarnation, target.address),
                  asio::detached);
 }
 
-// One that listens at the last probe stays on the list: its successor may be
-// what listens. What breaks there after that is looked at anew. One that does
-// not answer shows only later whether it has ended.
+// If the endpoint accepts the last probe, its entry stays: the process that
+// accepted may already be its successor. A connection that breaks there later
+// is probed again. If the endpoint does not respond, only a later incarnation
+// shows whether it crashed.
 awaitable<void> crash_watch::Probe(std::string incarnation,
                                    std::string address) {
-  bool is_silent = false;
-  for (int probe = 0; probe < kProbes; ++probe) {
+  bool is_unresponsive = false;
+  for (int probe = 0; probe < kProbeCount; ++probe) {
     const net::connect_outcome outcome =
         co_await pool_.Probe(address, clock_.Now() + kProbeTimeout);
-    if (broken_.count(incarnation) == 0) co_return;
+    if (disconnected_.count(incarnation) == 0) co_return;
     if (outcome == net::connect_outcome::kRefused) {
-      NoteEnded(incarnation);
+      HandleCrash(incarnation);
       co_return;
     }
-    is_silent = outcome == net::connect_outcome::kNoAnswer;
+    is_unresponsive = outcome == net::connect_outcome::kNoAnswer;
     co_await net::Sleep(kProbePause);
   }
-  const auto found = broken_.find(incarnation);
-  if (found == broken_.end()) co_return;
-  found->second.is_probed = false;
-  if (!is_silent) co_return;
-  for (const victim& item : found->second.victims) {
-    AddSilent(found->second.endpoint, item);
+  const auto found = disconnected_.find(incarnation);
+  if (found == disconnected_.end()) co_return;
+  found->second.is_probing = false;
+  if (!is_unresponsive) co_return;
+  for (const affected_request& item : found->second.requests) {
+    AddUnresponsive(found->second.endpoint, item);
   }
-  broken_.erase(found);
+  disconnected_.erase(found);
 }
 
-size_t crash_watch::Probing() const {
+size_t crash_watch::ProbesInProgress() const {
   return static_cast<size_t>(
-      std::count_if(broken_.begin(), broken_.end(),
-                    [](const auto& item) { return item.second.is_probed; }));
+      std::count_if(disconnected_.begin(), disconnected_.end(),
+                    [](const auto& item) { return item.second.is_probing; }));
 }
 
-void crash_watch::ForgetSound() {
+void crash_watch::RemoveExpiredEntries() {
   const time_point now = clock_.Now();
-  std::erase_if(broken_, [now](const auto& item) {
-    return !item.second.is_probed && now >= item.second.give_up_at;
+  std::erase_if(disconnected_, [now](const auto& item) {
+    return !item.second.is_probing && now >= item.second.expires_at;
   });
-  for (auto& [incarnation, entry] : silent_) {
-    std::erase_if(entry.victims,
+  for (auto& [incarnation, entry] : unresponsive_) {
+    std::erase_if(entry.requests,
                   [now](const auto& item) { return now >= item.second; });
   }
-  std::erase_if(silent_,
-                [](const auto& item) { return item.second.victims.empty(); });
+  std::erase_if(unresponsive_,
+                [](const auto& item) { return item.second.requests.empty(); });
 }
 
-void crash_watch::NoteEnded(const std::string& incarnation) {
-  std::vector<victim> victims;
-  if (const auto found = broken_.find(incarnation); found != broken_.end()) {
-    victims = std::move(found->second.victims);
-    broken_.erase(found);
+void crash_watch::HandleCrash(const std::string& incarnation) {
+  std::vector<affected_request> requests;
+  if (const auto found = disconnected_.find(incarnation);
+      found != disconnected_.end()) {
+    requests = std::move(found->second.requests);
+    disconnected_.erase(found);
   }
-  if (const auto found = silent_.find(incarnation); found != silent_.end()) {
-    for (auto& item : found->second.victims) {
-      victims.push_back(std::move(item.first));
+  if (const auto found = unresponsive_.find(incarnation);
+      found != unresponsive_.end()) {
+    for (auto& item : found->second.requests) {
+      requests.push_back(std::move(item.first));
     }
-    silent_.erase(found);
+    unresponsive_.erase(found);
   }
   const time_point now = clock_.Now();
-  for (const victim& item : victims) {
+  for (const affected_request& item : requests) {
     LogEvent(event_id::kEndpointEndedUnderRequest, {{"digest", item.digest},
                                                     {"customer", item.customer},
                                                     {"endpoint", incarnation}});
@@ -224,43 +231,42 @@
     NoteEnd(ledger_, report, now);
     outbox_.reports.push_back(report);
   }
-  if (!victims.empty()) outbox_filled_.Notify();
+  if (!requests.empty()) outbox_changed_.Notify();
 }
 
-// --- What others are told, and tell.
-
 void crash_watch::OnView() {
-  ForgetSound();
-  std::vector<std::string> ended;
-  for (const auto& [incarnation, entry] : broken_) {
-    if (HasSuccessor(entry.endpoint)) ended.push_back(incarnation);
+  RemoveExpiredEntries();
+  std::vector<std::string> crashed;
+  for (const auto& [incarnation, entry] : disconnected_) {
+    if (HasSuccessor(entry.endpoint)) crashed.push_back(incarnation);
   }
-  for (const auto& [incarnation, entry] : silent_) {
-    if (HasSuccessor(entry.endpoint)) ended.push_back(incarnation);
+  for (const auto& [incarnation, entry] : unresponsive_) {
+    if (HasSuccessor(entry.endpoint)) crashed.push_back(incarnation);
   }
-  for (const std::string& incarnation : ended) NoteEnded(incarnation);
-  TakeWarnings();
+  for (const std::string& incarnation : crashed) HandleCrash(incarnation);
+  MergeWarnings();
 }
 
-void crash_watch::TakeWarnings() {
-  const bool is_new_term = view_.version.term != seen_term_;
-  seen_term_ = view_.version.term;
-  if (is_new_term) TellWhatTheLeaderLacks();
-  if (view_.warnings == seen_warnings_) return;
-  const std::vector<fleet::request_warning> before =
-      std::exchange(seen_warnings_, view_.warnings);
+void crash_watch::MergeWarnings() {
+  const bool is_new_term = view_.version.term != last_view_term_;
+  last_view_term_ = view_.version.term;
+  if (is_new_term) QueueMissingReports();
+  if (view_.warnings == last_warnings_) return;
+  const std::vector<fleet::request_warning> previous_warnings =
+      std::exchange(last_warnings_, view_.warnings);
   const time_point now = clock_.Now();
-  auto old = before.begin();
-  for (const fleet::request_warning& item : seen_warnings_) {
-    while (old != before.end() && old->digest < item.digest) ++old;
-    const bool is_same = old != before.end() && *old == item;
+  auto old = previous_warnings.begin();
+  for (const fleet::request_warning& item : last_warnings_) {
+    while (old != previous_warnings.end() && old->digest < item.digest) ++old;
+    const bool is_same = old != previous_warnings.end() && *old == item;
     if (!is_same) Adopt(ledger_, item, now);
   }
-  // A new leader may not know yet what the one before had told.
+  // A new leader may not have received the reports that its predecessor had, so
+  // a missing warning does not clear the request.
   if (is_new_term) return;
-  for (const fleet::request_warning& item : before) {
+  for (const fleet::request_warning& item : previous_warnings) {
     const bool is_listed =
-        std::binary_search(seen_warnings_.begin(), seen_warnings_.end(), item,
+        std::binary_search(last_warnings_.begin(), last_warnings_.end(), item,
                            [](const auto& left, const auto& right) {
                              return left.digest < right.digest;
                            });
@@ -268,33 +274,34 @@
   }
 }
 
-// A leader begins with what it followed itself, which may be nothing after all
-// control instances were lost.
-void crash_watch::TellWhatTheLeaderLacks() {
-  std::map<std::string_view, const fleet::request_warning*> told;
+// A new leader starts with the warnings that it received itself, which may be
+// none after a loss of all control instances.
+void crash_watch::QueueMissingReports() {
+  std::map<std::string_view, const fleet::request_warning*> listed_warnings;
   for (const fleet::request_warning& item : view_.warnings) {
-    told[item.digest] = &item;
+    listed_warnings[item.digest] = &item;
   }
   outbox_.reports.clear();
   outbox_.forgiven.clear();
   for (const auto& [digest, item] : ledger_.suspects) {
-    const auto found = told.find(digest);
-    const fleet::request_warning known =
-        found == told.end() ? fleet::request_warning{} : *found->second;
-    for (const std::string& end : item.ends) {
-      if (IsAmong(known.ends, end) || IsAmong(known.forgiven, end)) continue;
+    const auto found = listed_warnings.find(digest);
+    const fleet::request_warning warning = found == listed_warnings.end()
+                                               ? fleet::request_warning{}
+                                               : *found->second;
+    for (const std::string& crash : item.ends) {
+      if (Has(warning.ends, crash) || Has(warning.forgiven, crash)) continue;
       if (outbox_.reports.size() >= kMostReports) return;
-      outbox_.reports.push_back({digest, item.customer, end});
+      outbox_.reports.push_back({digest, item.customer, crash});
     }
-    fleet::forgiven_ends forgiven{digest, item.customer, {}};
-    for (const std::string& end : item.cleared) {
-      if (!IsAmong(known.forgiven, end)) forgiven.ends.push_back(end);
+    fleet::forgiven_ends cleared{digest, item.customer, {}};
+    for (const std::string& crash : item.cleared) {
+      if (!Has(warning.forgiven, crash)) cleared.ends.push_back(crash);
     }
-    if (forgiven.ends.empty()) continue;
+    if (cleared.ends.empty()) continue;
     if (outbox_.forgiven.size() >= kMostReports) return;
-    outbox_.forgiven.push_back(std::move(forgiven));
+    outbox_.forgiven.push_back(std::move(cleared));
   }
-  outbox_filled_.Notify();
+  outbox_changed_.Notify();
 }
 
 awaitable<void> crash_watch::KeepTelling() {
@@ -302,19 +309,19 @@
     const bool is_empty = outbox_.reports.empty() && outbox_.served.empty() &&
                           outbox_.forgiven.empty();
     if (is_empty) {
-      co_await outbox_filled_.WaitUntil(time_point::max());
+      co_await outbox_changed_.WaitUntil(time_point::max());
       continue;
     }
-    fleet::crash_news news = std::exchange(outbox_, {});
-    const bool is_told = co_await tell_(news);
-    if (is_told) continue;
-    // Behind what came in meanwhile: the order does not matter.
-    outbox_.reports.insert(outbox_.reports.end(), news.reports.begin(),
-                           news.reports.end());
-    outbox_.served.insert(outbox_.served.end(), news.served.begin(),
-                          news.served.end());
-    outbox_.forgiven.insert(outbox_.forgiven.end(), news.forgiven.begin(),
-                            news.forgiven.end());
+    fleet::crash_news update = std::exchange(outbox_, {});
+    const bool is_sent = co_await send_update_(update);
+    if (is_sent) continue;
+    // Appended to what was queued during the call: the order does not matter.
+    outbox_.reports.insert(outbox_.reports.end(), update.reports.begin(),
+                           update.reports.end());
+    outbox_.served.insert(outbox_.served.end(), update.served.begin(),
+                          update.served.end());
+    outbox_.forgiven.insert(outbox_.forgiven.end(), update.forgiven.begin(),
+                            update.forgiven.end());
     if (outbox_.reports.size() > kMostReports) {
       outbox_.reports.resize(kMostReports);
     }
@@ -324,7 +331,7 @@
     if (outbox_.served.size() > kMostReports) {
       outbox_.served.resize(kMostReports);
     }
-    co_await net::Sleep(kTellPause);
+    co_await net::Sleep(kSendRetryPause);
   }
 }
 
--- a/packages/quarantine/crash_watch.h
+++ b/packages/quarantine/crash_watch.h
@@ -1,10 +1,10 @@
 #ifndef HICKORYWOOD_QUARANTINE_CRASH_WATCH_H_
 #define HICKORYWOOD_QUARANTINE_CRASH_WATCH_H_
 
-// One process's part in holding back requests that take endpoints down: tells
-// endpoints that ended from connections that merely broke, reports the requests
-// that were running there to the control leader, and knows which requests must
-// not be sent.
+// Detects endpoints that crashed under this process's requests. It
+// distinguishes crashes from connections that merely broke, reports the
+// requests that were running on a crashed endpoint to the control leader, and
+// decides which requests must not be sent.
 
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/io_context.hpp>
@@ -26,79 +26,86 @@
 
 class crash_watch {
  public:
-  // Brings news to the control leader. False: it may not have arrived.
-  using teller = std::function<boost::asio::awaitable<bool>(fleet::crash_news)>;
+  // Sends an update to the control leader. False: the leader may not have
+  // received it.
+  using update_sender =
+      std::function<boost::asio::awaitable<bool>(fleet::crash_news)>;
 
   crash_watch(boost::asio::io_context& loop, const core::runtime_clock& clock,
-              net::connection_pool& pool, const fleet::view& view, teller tell);
+              net::connection_pool& pool, const fleet::view& view,
+              update_sender send_update);
 
   void Start();
-  // The view changed.
+  // Called when the view has changed.
   void OnView();
 
-  // The connection to `target` broke under a request before its answer was
-  // whole. Not for silence: who does not answer may be at work.
+  // The connection to `target` broke before the response to the request was
+  // complete. Not to be called for a timeout: an endpoint that does not respond
+  // may still be working.
   void NoteBroken(const request_identity& input, const fleet::endpoint& target);
-  // No answer from `target` is waited for any more: the caller left, or the
-  // time is up. An end of the endpoint that shows soon counts against the
-  // request.
+  // The process no longer waits for the response of `target`: the caller
+  // disconnected or the deadline passed. A crash of the endpoint that is
+  // detected soon after is attributed to the request.
   void NoteGivenUp(const request_identity& input,
                    const fleet::endpoint& target);
-  // An endpoint answered the request and goes on.
+  // An endpoint responded to the request and kept running.
   void NoteServed(const request_identity& input);
 
-  // Endpoints that are being asked whether they listen.
-  size_t Probing() const;
-  // While nothing is suspected no request is looked at.
+  // Number of endpoints that are being probed.
+  size_t ProbesInProgress() const;
+  // True if no request is suspected; then requests need no check.
   bool IsQuiet() const { return ledger_.suspects.empty(); }
   verdict Check(const request_identity& input) const;
   verdict CheckDigest(const std::string& digest) const;
-  // Empty while the control group has drawn no key.
+  // Empty until the control group has generated the digest key.
   std::string DigestOf(const request_identity& input) const;
 
  private:
-  struct victim {
+  struct affected_request {
     std::string digest;
     std::string customer;
   };
-  // Requests at an endpoint that may have ended without a sign of it.
-  struct silent_endpoint {
+  // Requests that were running on an endpoint that may have crashed without
+  // closing its connections.
+  struct unresponsive_endpoint {
     fleet::endpoint endpoint;
-    std::vector<std::pair<victim, core::time_point>> victims;  // until when
+    // Each with the time at which it expires.
+    std::vector<std::pair<affected_request, core::time_point>> requests;
   };
-  // An endpoint whose connections broke, and the requests that ran there.
-  struct broken_endpoint {
+  // An endpoint whose connections broke, and the requests that were running
+  // there.
+  struct disconnected_endpoint {
     fleet::endpoint endpoint;
-    std::vector<victim> victims;
-    bool is_probed = false;  // its probes are under way
-    core::time_point give_up_at{};
+    std::vector<affected_request> requests;
+    bool is_probing = false;  // its probes are in progress
+    core::time_point expires_at{};
   };
 
   boost::asio::awaitable<void> Probe(std::string incarnation,
                                      std::string address);
   bool IsLeaving(const fleet::endpoint& target) const;
-  void AddSilent(const fleet::endpoint& target, victim item);
-  void ForgetSound();
+  void AddUnresponsive(const fleet::endpoint& target, affected_request item);
+  void RemoveExpiredEntries();
   boost::asio::awaitable<void> KeepTelling();
   boost::asio::awaitable<void> KeepHouse();
-  void NoteEnded(const std::string& incarnation);
-  bool HasSuccessor(const fleet::endpoint& gone) const;
-  void TakeWarnings();
-  void TellWhatTheLeaderLacks();
+  void HandleCrash(const std::string& incarnation);
+  bool HasSuccessor(const fleet::endpoint& previous) const;
+  void MergeWarnings();
+  void QueueMissingReports();
 
   boost::asio::io_context& loop_;
   const core::runtime_clock& clock_;
   net::connection_pool& pool_;
   const fleet::view& view_;
-  const teller tell_;
-  std::map<std::string, broken_endpoint> broken_;  // by incarnation
-  std::map<std::string, silent_endpoint> silent_;  // by incarnation
+  const update_sender send_update_;
+  std::map<std::string, disconnected_endpoint> disconnected_;  // by incarnation
+  std::map<std::string, unresponsive_endpoint> unresponsive_;  // by incarnation
   crash_ledger ledger_;
   fleet::crash_news outbox_;
-  net::event outbox_filled_;
-  // Of the view that was looked at last.
-  uint64_t seen_term_ = 0;
-  std::vector<fleet::request_warning> seen_warnings_;
+  net::event outbox_changed_;
+  // Of the view that was processed last.
+  uint64_t last_view_term_ = 0;
+  std::vector<fleet::request_warning> last_warnings_;
 };
 
 }  // namespace hickorywood::quarantine
--- a/tests/unit/quarantine/crash_watch_test.cc
+++ b/tests/unit/quarantine/crash_watch_test.cc
@@ -1,4 +1,4 @@
-// What counts as an endpoint's end, over real sockets.
+// Which events count as a crash of an endpoint, tested over real sockets.
 
 #include "quarantine/crash_watch.h"
 
@@ -23,8 +23,8 @@
 
 using core::milliseconds;
 
-constexpr milliseconds kTurn{5};
-constexpr milliseconds kLimit{10000};
+constexpr milliseconds kLoopRunTime{5};
+constexpr milliseconds kTestTimeout{10000};
 constexpr char kCustomer[] = "camera.example";
 const request_identity kRequest{kCustomer, "POST", "/clips/7", "clip"};
 
@@ -36,14 +36,14 @@
     watch_.Start();
   }
 
-  boost::asio::awaitable<bool> Tell(fleet::crash_news news) {
-    if (!leader_answers_) co_return false;
-    for (const auto& item : news.reports) reports_.push_back(item);
-    for (const auto& item : news.served) served_.push_back(item);
+  boost::asio::awaitable<bool> ReceiveUpdate(fleet::crash_news update) {
+    if (!is_leader_reachable_) co_return false;
+    for (const auto& item : update.reports) reports_.push_back(item);
+    for (const auto& item : update.served) served_.push_back(item);
     co_return true;
   }
 
-  // Lists an endpoint; where it `listens`, connections to it are accepted.
+  // Adds an endpoint to the view. If `listens`, it accepts connections.
   fleet::endpoint List(const std::string& name, bool listens) {
     net::listener_options options;
     options.address = "127.0.0.1:0";
@@ -65,17 +65,18 @@
     return item;
   }
 
-  void NoteEnds(const std::vector<std::string>& names) {
+  void CrashEndpoints(const std::vector<std::string>& names) {
     for (const std::string& name : names) {
       watch_.NoteBroken(kRequest, List(name, false));
     }
   }
 
   bool RunUntil(const std::function<bool()>& is_done) {
-    const core::time_point limit = std::chrono::steady_clock::now() + kLimit;
+    const core::time_point limit =
+        std::chrono::steady_clock::now() + kTestTimeout;
     while (!is_done() && std::chrono::steady_clock::now() < limit) {
       loop_.restart();
-      loop_.run_for(kTurn);
+      loop_.run_for(kLoopRunTime);
     }
     return is_done();
   }
@@ -84,42 +85,44 @@
   core::runtime_clock clock_;
   net::connection_pool pool_{loop_};
   fleet::view view_;
-  bool leader_answers_ = true;
-  std::vector<fleet::crash_report> reports_;  // that the leader has heard
+  bool is_leader_reachable_ = true;
+  std::vector<fleet::crash_report> reports_;  // received by the leader
   std::vector<std::string> served_;
   std::vector<std::unique_ptr<net::listener>> listeners_;
-  crash_watch watch_{
-      loop_, clock_, pool_, view_,
-      [this](fleet::crash_news news) { return Tell(std::move(news)); }};
+  crash_watch watch_{loop_, clock_, pool_, view_,
+                     [this](fleet::crash_news update) {
+                       return ReceiveUpdate(std::move(update));
+                     }};
 };
 
-TEST_F(CrashWatchTest, EndpointThatListensNoMoreHasEnded) {
-  NoteEnds({"a"});
+TEST_F(CrashWatchTest, RefusedConnectionIsACrash) {
+  CrashEndpoints({"a"});
   ASSERT_TRUE(RunUntil([this] { return !reports_.empty(); }));
   EXPECT_EQ(reports_[0].digest, watch_.DigestOf(kRequest));
   EXPECT_EQ(reports_[0].customer, kCustomer);
   EXPECT_EQ(reports_[0].incarnation, "a");
 }
 
-// Connections that are reset take requests with them, and the endpoint goes on.
-// One that has really ended comes after it, so that the loop has come past
-// both.
-TEST_F(CrashWatchTest, EndpointThatListensHasNotEnded) {
+// Reset connections fail their requests while the endpoint keeps running. An
+// endpoint that has really crashed follows, so that both have been processed
+// when its report arrives.
+TEST_F(CrashWatchTest, EndpointThatAcceptsConnectionsHasNotCrashed) {
   watch_.NoteBroken(kRequest, List("sound", true));
-  NoteEnds({"ended"});
+  CrashEndpoints({"ended"});
   ASSERT_TRUE(RunUntil([this] { return !reports_.empty(); }));
   ASSERT_EQ(reports_.size(), 1U);
   EXPECT_EQ(reports_[0].incarnation, "ended");
 }
 
-// Connections are reset, and right after that the endpoint ends under another
-// request: only that one was running there.
-TEST_F(CrashWatchTest, EndRightAfterAResetNamesWhatRanThen) {
+// Connections are reset, and right after that the endpoint crashes under
+// another request. Only the later request was running there, so only it is
+// reported.
+TEST_F(CrashWatchTest, CrashAfterAResetReportsOnlyTheLaterRequest) {
   const fleet::endpoint target = List("a", true);
   watch_.NoteBroken(kRequest, target);
   const request_identity later{kCustomer, "POST", "/clips/8", "clip"};
   const std::string digest = watch_.DigestOf(later);
-  ASSERT_TRUE(RunUntil([this] { return watch_.Probing() == 0; }));
+  ASSERT_TRUE(RunUntil([this] { return watch_.ProbesInProgress() == 0; }));
   listeners_.clear();
   watch_.NoteBroken(later, target);
   ASSERT_TRUE(RunUntil([this] { return !reports_.empty(); }));
@@ -127,10 +130,10 @@
   EXPECT_EQ(reports_[0].digest, digest);
 }
 
-// An endpoint is back so soon that a probe finds its successor.
-TEST_F(CrashWatchTest, EndpointWithASuccessorHasEnded) {
-  const fleet::endpoint gone = List("a", true);
-  watch_.NoteBroken(kRequest, gone);
+// An endpoint restarts so quickly that a probe reaches its successor.
+TEST_F(CrashWatchTest, EndpointWithASuccessorHasCrashed) {
+  const fleet::endpoint previous = List("a", true);
+  watch_.NoteBroken(kRequest, previous);
   view_.endpoints[0].incarnation = "b";
   view_.endpoints[0].name = "b";
   watch_.OnView();
@@ -138,19 +141,19 @@
   EXPECT_EQ(reports_[0].incarnation, "a");
 }
 
-// An address that answers nothing, as that of an endpoint without power: its
+// An address that does not respond, like that of an endpoint without power: its
 // queue of connections is full, and further ones are dropped.
-class silent_address {
+class unresponsive_address {
  public:
-  silent_address() : silent_(Open()) {
+  unresponsive_address() : socket_(Open()) {
     sockaddr_in where{};
     where.sin_family = AF_INET;
     where.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
     socklen_t size = sizeof where;
-    const int bound = bind(silent_, reinterpret_cast<sockaddr*>(&where), size);
+    const int bound = bind(socket_, reinterpret_cast<sockaddr*>(&where), size);
     EXPECT_EQ(bound, 0);
-    EXPECT_EQ(listen(silent_, 0), 0);
-    getsockname(silent_, reinterpret_cast<sockaddr*>(&where), &size);
+    EXPECT_EQ(listen(socket_, 0), 0);
+    getsockname(socket_, reinterpret_cast<sockaddr*>(&where), &size);
     port_ = ntohs(where.sin_port);
     for (int& filler : fillers_) {
       filler = Open();
@@ -159,32 +162,32 @@
       EXPECT_TRUE(failure == 0 || errno == EINPROGRESS);
     }
   }
-  ~silent_address() {
+  ~unresponsive_address() {
     for (const int filler : fillers_) close(filler);
-    close(silent_);
+    close(socket_);
   }
-  silent_address(const silent_address&) = delete;
-  silent_address& operator=(const silent_address&) = delete;
+  unresponsive_address(const unresponsive_address&) = delete;
+  unresponsive_address& operator=(const unresponsive_address&) = delete;
 
   std::string Text() const { return "127.0.0.1:" + std::to_string(port_); }
 
  private:
   static int Open() { return socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0); }
 
-  int silent_;
+  int socket_;
   int port_ = 0;
   std::array<int, 4> fillers_{};
 };
 
-// Guards against a request without a bound whose endpoints go dark: nothing
-// answers there until the next start some seconds later.
-TEST_F(CrashWatchTest, EndpointThatGoesDarkUntilItsNextStartHasEnded) {
-  const silent_address dark;
+// Guards against a request that crashes endpoints without limit when these lose
+// power: their addresses do not respond until the restart some seconds later.
+TEST_F(CrashWatchTest, UnresponsiveEndpointThatRestartsHasCrashed) {
+  const unresponsive_address address;
   fleet::endpoint target = List("a", false);
-  target.address = dark.Text();
-  view_.endpoints[0].address = dark.Text();
+  target.address = address.Text();
+  view_.endpoints[0].address = address.Text();
   watch_.NoteBroken(kRequest, target);
-  ASSERT_TRUE(RunUntil([this] { return watch_.Probing() == 0; }));
+  ASSERT_TRUE(RunUntil([this] { return watch_.ProbesInProgress() == 0; }));
   clock_.Pause();
   clock_.Advance(milliseconds(6000));
   watch_.OnView();
@@ -194,9 +197,10 @@
   EXPECT_EQ(reports_[0].incarnation, "a");
 }
 
-// Guards against requests whose callers leave, or whose time is up, before the
-// end shows; and against blame for an end long after.
-TEST_F(CrashWatchTest, RequestThatWasGivenUpCountsForAWhile) {
+// Guards against missing the requests whose callers disconnect, or whose
+// deadline passes, before the crash is detected; and against attributing a
+// crash to requests that ended long before.
+TEST_F(CrashWatchTest, AbandonedRequestIsReportedWithinTheRestartWindow) {
   clock_.Pause();
   const fleet::endpoint target = List("a", true);
   const request_identity early{kCustomer, "POST", "/clips/8", "clip"};
@@ -205,7 +209,7 @@
   watch_.NoteGivenUp(kRequest, target);
   clock_.Advance(milliseconds(4000));
   watch_.OnView();
-  EXPECT_EQ(watch_.Probing(), 0U);
+  EXPECT_EQ(watch_.ProbesInProgress(), 0U);
   view_.endpoints[0].incarnation = "b";
   watch_.OnView();
   ASSERT_TRUE(RunUntil([this] { return !reports_.empty(); }));
@@ -214,35 +218,36 @@
   EXPECT_EQ(reports_[0].incarnation, "a");
 }
 
-// A planned end cuts what its endpoint did not finish; that blames nobody.
-TEST_F(CrashWatchTest, EndpointThatLeavesDoesNotCount) {
+// A planned shutdown aborts the requests that the endpoint did not finish. That
+// is attributed to none of them.
+TEST_F(CrashWatchTest, DrainingOrDepartedEndpointIsNotACrash) {
   const fleet::endpoint draining = List("draining", false);
   view_.endpoints[0].state = fleet::endpoint_state::kDraining;
   watch_.NoteBroken(kRequest, draining);
   const fleet::endpoint left = List("left", false);
   view_.endpoints.pop_back();
   watch_.NoteBroken(kRequest, left);
-  NoteEnds({"ended"});
+  CrashEndpoints({"ended"});
   ASSERT_TRUE(RunUntil([this] { return !reports_.empty(); }));
   ASSERT_EQ(reports_.size(), 1U);
   EXPECT_EQ(reports_[0].incarnation, "ended");
 }
 
-// Without a leader an instance holds back what it has seen itself, and tells it
-// once there is one.
-TEST_F(CrashWatchTest, HoldsBackWithoutALeader) {
-  leader_answers_ = false;
-  NoteEnds({"a", "b", "c"});
+// Without a leader an instance quarantines by its own observations, and reports
+// them as soon as there is a leader.
+TEST_F(CrashWatchTest, QuarantinesWithoutALeader) {
+  is_leader_reachable_ = false;
+  CrashEndpoints({"a", "b", "c"});
   ASSERT_TRUE(RunUntil([this] {
     return watch_.Check(kRequest).standing == request_standing::kQuarantined;
   }));
   EXPECT_TRUE(reports_.empty());
-  leader_answers_ = true;
+  is_leader_reachable_ = true;
   EXPECT_TRUE(RunUntil([this] { return reports_.size() == 3; }));
 }
 
-TEST_F(CrashWatchTest, NewLeaderIsToldWhatItLacks) {
-  NoteEnds({"a", "b", "c"});
+TEST_F(CrashWatchTest, NewLeaderReceivesMissingReports) {
+  CrashEndpoints({"a", "b", "c"});
   ASSERT_TRUE(RunUntil([this] { return reports_.size() == 3; }));
   fleet::request_warning warning;
   warning.digest = watch_.DigestOf(kRequest);
@@ -255,8 +260,8 @@
   EXPECT_EQ(watch_.Check(kRequest).standing, request_standing::kQuarantined);
 }
 
-TEST_F(CrashWatchTest, ServedRequestIsClearedHereAndAtTheLeader) {
-  NoteEnds({"a", "b"});
+TEST_F(CrashWatchTest, ServedRequestIsClearedLocallyAndAtTheLeader) {
+  CrashEndpoints({"a", "b"});
   ASSERT_TRUE(RunUntil([this] { return reports_.size() == 2; }));
   ASSERT_EQ(watch_.Check(kRequest).standing, request_standing::kSuspected);
   watch_.NoteServed(kRequest);
@@ -265,16 +270,16 @@
   EXPECT_EQ(served_[0], watch_.DigestOf(kRequest));
 }
 
-// What other instances have seen counts with what this one has, and an
-// operator's word reaches it as one that is no longer listed.
-TEST_F(CrashWatchTest, FollowsTheLeadersList) {
+// Crashes that other instances reported count together with those of this one.
+// A release by an operator arrives as a warning that is no longer listed.
+TEST_F(CrashWatchTest, AppliesTheWarningsOfTheLeader) {
   fleet::request_warning warning;
   warning.digest = watch_.DigestOf(kRequest);
   warning.ends = {"a", "b"};
   view_.warnings = {warning};
   watch_.OnView();
   EXPECT_EQ(watch_.Check(kRequest).standing, request_standing::kSuspected);
-  NoteEnds({"c"});
+  CrashEndpoints({"c"});
   EXPECT_TRUE(RunUntil([this] {
     return watch_.Check(kRequest).standing == request_standing::kQuarantined;
   }));
