--- a/tests/unit/quarantine/crash_ledger_test.cc
+++ b/tests/unit/quarantine/crash_ledger_test.cc
@@ -13,25 +13,25 @@
 
 class CrashLedgerTest : public ::testing::Test {
  protected:
-  std::vector<standing_change> End(const std::string& digest,
-                                   const std::string& incarnation) {
+  std::vector<standing_change> RecordOneCrash(const std::string& digest,
+                                              const std::string& incarnation) {
     return NoteEnd(ledger_, {digest, "customer", incarnation}, now_);
   }
 
-  void EndAll(const std::string& digest,
-              const std::vector<std::string>& incarnations) {
-    for (const std::string& item : incarnations) End(digest, item);
+  void RecordCrashes(const std::string& digest,
+                     const std::vector<std::string>& incarnations) {
+    for (const std::string& item : incarnations) RecordOneCrash(digest, item);
   }
 
-  request_standing Standing(const std::string& digest) const {
+  request_standing State(const std::string& digest) const {
     return StandingOf(ledger_, digest, now_);
   }
 
   bool IsQuarantined(const std::string& digest) const {
-    return Standing(digest) == request_standing::kQuarantined;
+    return State(digest) == request_standing::kQuarantined;
   }
 
-  void Pass(seconds time) {
+  void AdvanceTime(seconds time) {
     now_ += time;
     Expire(ledger_, now_);
   }
@@ -40,25 +40,25 @@
   core::time_point now_{seconds(1000)};
 };
 
-TEST_F(CrashLedgerTest, ThirdEndQuarantines) {
-  End("cause", "a");
-  EXPECT_EQ(Standing("cause"), request_standing::kClear);
-  End("cause", "b");
-  EXPECT_EQ(Standing("cause"), request_standing::kSuspected);
-  const auto changes = End("cause", "c");
+TEST_F(CrashLedgerTest, ThirdCrashQuarantines) {
+  RecordOneCrash("cause", "a");
+  EXPECT_EQ(State("cause"), request_standing::kClear);
+  RecordOneCrash("cause", "b");
+  EXPECT_EQ(State("cause"), request_standing::kSuspected);
+  const auto changes = RecordOneCrash("cause", "c");
   EXPECT_TRUE(IsQuarantined("cause"));
   ASSERT_EQ(changes.size(), 1U);
   EXPECT_TRUE(changes[0].is_quarantined);
 }
 
-// Guards against a quarantine that was lifted, or cleared by an answer, and
-// comes back: an instance that did not hear of it tells the next leader the old
-// ends.
-TEST_F(CrashLedgerTest, WhatWasForgivenIsToldToTheNextLeader) {
+// Guards against a quarantine that returns after a release or a served request:
+// an instance that missed the clearing reports the old crashes to the next
+// leader.
+TEST_F(CrashLedgerTest, NextLeaderReceivesClearedCrashes) {
   for (const auto reason :
        {release_reason::kOperator, release_reason::kServed}) {
     ledger_ = {};
-    EndAll("cause", {"a", "b", "c"});
+    RecordCrashes("cause", {"a", "b", "c"});
     Release(ledger_, "cause", reason, now_);
     crash_ledger next;
     for (const auto& item : ListWarnings(ledger_)) Adopt(next, item, now_);
@@ -69,136 +69,141 @@
   }
 }
 
-// Guards against an instance that goes on holding a request back alone.
-TEST_F(CrashLedgerTest, InstanceThatDidNotHearOfALiftFollowsIt) {
-  EndAll("cause", {"a", "b", "c"});
-  crash_ledger away = ledger_;
+// Guards against an instance that missed a release and keeps the request
+// quarantined on its own.
+TEST_F(CrashLedgerTest, InstanceThatMissedAReleaseAppliesIt) {
+  RecordCrashes("cause", {"a", "b", "c"});
+  crash_ledger other = ledger_;
   Release(ledger_, "cause", release_reason::kOperator, now_);
-  for (const auto& item : ListWarnings(ledger_)) Adopt(away, item, now_);
-  EXPECT_EQ(StandingOf(away, "cause", now_), request_standing::kClear);
-  // What has ended since counts.
+  for (const auto& item : ListWarnings(ledger_)) Adopt(other, item, now_);
+  EXPECT_EQ(StandingOf(other, "cause", now_), request_standing::kClear);
+  // Later crashes count.
   for (const char* end : {"d", "e", "f"}) {
-    NoteEnd(away, {"cause", "customer", end}, now_);
+    NoteEnd(other, {"cause", "customer", end}, now_);
   }
-  EXPECT_EQ(StandingOf(away, "cause", now_), request_standing::kQuarantined);
+  EXPECT_EQ(StandingOf(other, "cause", now_), request_standing::kQuarantined);
 }
 
-// Entries tell again what they know when the leader changes.
-TEST_F(CrashLedgerTest, EndThatIsToldAgainCountsOnce) {
-  EndAll("cause", {"a", "b", "a", "b", "a"});
+// Instances report their crashes again when the leader changes.
+TEST_F(CrashLedgerTest, RepeatedReportCountsOnce) {
+  RecordCrashes("cause", {"a", "b", "a", "b", "a"});
   EXPECT_FALSE(IsQuarantined("cause"));
 }
 
-// A request that is sent often, always with the same bytes, is running at many
-// an endpoint that ends.
-TEST_F(CrashLedgerTest, RequestThatIsServedStartsAnew) {
-  EndAll("popular", {"a", "b"});
+// A request that is sent often with the same bytes is running on many of the
+// endpoints that crash. Its crashes do not add up, since it is served in
+// between.
+TEST_F(CrashLedgerTest, CrashesBeforeServingDoNotCount) {
+  RecordCrashes("popular", {"a", "b"});
   Release(ledger_, "popular", release_reason::kServed, now_);
-  EndAll("popular", {"a", "b", "c", "d"});
+  RecordCrashes("popular", {"a", "b", "c", "d"});
   EXPECT_FALSE(IsQuarantined("popular"));
-  End("popular", "e");
+  RecordOneCrash("popular", "e");
   EXPECT_TRUE(IsQuarantined("popular"));
 }
 
-// Five requests die with one endpoint and are sent again; the rack's other
-// endpoints follow. Each has met two ends, and is served at the next one.
-TEST_F(CrashLedgerTest, VictimsOfALostRackAreNotHeldBack) {
+// Five requests fail with one endpoint and are sent again; then the other
+// endpoints of the rack crash. Each request has two crashes, and is served at
+// the next endpoint.
+TEST_F(CrashLedgerTest, LostRackQuarantinesNoRequest) {
   for (int i = 0; i < 5; ++i) {
-    EndAll("victim-" + std::to_string(i), {"a", "b"});
+    RecordCrashes("victim-" + std::to_string(i), {"a", "b"});
   }
   for (int i = 0; i < 5; ++i) {
     EXPECT_FALSE(IsQuarantined("victim-" + std::to_string(i)));
   }
 }
 
-TEST_F(CrashLedgerTest, VictimOfAKnownCauseIsNotHeldBack) {
-  EndAll("cause", {"a", "b", "c", "d"});
-  EndAll("victim", {"a", "b", "c"});
+TEST_F(CrashLedgerTest, QuarantinedCauseExplainsCrashes) {
+  RecordCrashes("cause", {"a", "b", "c", "d"});
+  RecordCrashes("victim", {"a", "b", "c"});
   EXPECT_FALSE(IsQuarantined("victim"));
 }
 
-// The victim's report comes in first, before anything explains its ends.
-TEST_F(CrashLedgerTest, VictimIsReleasedOnceTheCauseHasSeenMore) {
-  EndAll("victim", {"a", "b", "c"});
+// The report of the innocent request arrives first, when no other request
+// explains its crashes.
+TEST_F(CrashLedgerTest, RequestIsReleasedOnceTheCauseHasMoreCrashes) {
+  RecordCrashes("victim", {"a", "b", "c"});
   EXPECT_TRUE(IsQuarantined("victim"));
-  EndAll("cause", {"a", "b", "c"});
+  RecordCrashes("cause", {"a", "b", "c"});
   EXPECT_TRUE(IsQuarantined("cause"));
-  const auto changes = End("cause", "d");
+  const auto changes = RecordOneCrash("cause", "d");
   EXPECT_FALSE(IsQuarantined("victim"));
   ASSERT_EQ(changes.size(), 1U);
   EXPECT_EQ(changes[0].reason, release_reason::kExplained);
   EXPECT_TRUE(IsQuarantined("cause"));
 }
 
-// A victim that followed the cause to all three endpoints can't be told from
-// it. Neither is lost for long.
-TEST_F(CrashLedgerTest, RequestsWithTheSameEndsAreHeldBackForAShortTime) {
-  EndAll("one", {"a", "b", "c"});
-  EndAll("other", {"a", "b", "c"});
-  Pass(ledger_.options.short_duration);
+// A request that was running next to the cause at all three crashes cannot be
+// distinguished from it. Neither is quarantined for long.
+TEST_F(CrashLedgerTest, RequestsWithTheSameCrashesAreQuarantinedBriefly) {
+  RecordCrashes("one", {"a", "b", "c"});
+  RecordCrashes("other", {"a", "b", "c"});
+  AdvanceTime(ledger_.options.short_duration);
   EXPECT_FALSE(IsQuarantined("one"));
   EXPECT_FALSE(IsQuarantined("other"));
   Release(ledger_, "one", release_reason::kServed, now_);
-  End("other", "d");
+  RecordOneCrash("other", "d");
   EXPECT_TRUE(IsQuarantined("other"));
-  Pass(ledger_.options.short_duration);
+  AdvanceTime(ledger_.options.short_duration);
   EXPECT_TRUE(IsQuarantined("other"));
 }
 
 TEST_F(CrashLedgerTest, EachFurtherQuarantineIsLonger) {
-  EndAll("cause", {"a", "b", "c"});
-  Pass(ledger_.options.base_duration);
-  EXPECT_EQ(Standing("cause"), request_standing::kSuspected);
-  End("cause", "d");
-  Pass(ledger_.options.base_duration);
+  RecordCrashes("cause", {"a", "b", "c"});
+  AdvanceTime(ledger_.options.base_duration);
+  EXPECT_EQ(State("cause"), request_standing::kSuspected);
+  RecordOneCrash("cause", "d");
+  AdvanceTime(ledger_.options.base_duration);
   EXPECT_TRUE(IsQuarantined("cause"));
-  Pass(ledger_.options.base_duration);
+  AdvanceTime(ledger_.options.base_duration);
   EXPECT_FALSE(IsQuarantined("cause"));
 }
 
-TEST_F(CrashLedgerTest, OldEndsAreForgotten) {
-  EndAll("cause", {"a", "b"});
-  Pass(ledger_.options.retention);
+TEST_F(CrashLedgerTest, OldCrashesAreRemoved) {
+  RecordCrashes("cause", {"a", "b"});
+  AdvanceTime(ledger_.options.retention);
   EXPECT_FALSE(HasEnds(ledger_, "cause"));
   EXPECT_TRUE(ledger_.by_crash.empty());
 }
 
-TEST_F(CrashLedgerTest, SuccessorOfTheLeaderHoldsTheSameBack) {
-  EndAll("cause", {"a", "b", "c"});
-  EndAll("suspect", {"x", "y"});
-  crash_ledger successor;
+TEST_F(CrashLedgerTest, NextLeaderQuarantinesTheSameRequests) {
+  RecordCrashes("cause", {"a", "b", "c"});
+  RecordCrashes("suspect", {"x", "y"});
+  crash_ledger next_leader;
   for (const fleet::request_warning& item : ListWarnings(ledger_)) {
-    Adopt(successor, item, now_);
+    Adopt(next_leader, item, now_);
   }
-  EXPECT_EQ(StandingOf(successor, "cause", now_),
+  EXPECT_EQ(StandingOf(next_leader, "cause", now_),
             request_standing::kQuarantined);
-  EXPECT_EQ(StandingOf(successor, "suspect", now_),
+  EXPECT_EQ(StandingOf(next_leader, "suspect", now_),
             request_standing::kSuspected);
-  EXPECT_TRUE(NoteEnd(successor, {"cause", "customer", "a"}, now_).empty());
-  EXPECT_EQ(ListWarnings(successor), ListWarnings(ledger_));
+  EXPECT_TRUE(NoteEnd(next_leader, {"cause", "customer", "a"}, now_).empty());
+  EXPECT_EQ(ListWarnings(next_leader), ListWarnings(ledger_));
 }
 
-// A new leader has heard of two ends from one entry and not yet of the others.
-// Its word must not free what this instance knows better.
-TEST_F(CrashLedgerTest, LeaderThatKnowsLessFreesNothing) {
-  EndAll("cause", {"a", "b", "c"});
+// A new leader has received two of the crashes from one instance, and the
+// others not yet. Its warning must not release a request for which this
+// instance has more crashes.
+TEST_F(CrashLedgerTest, LeaderWithFewerCrashesReleasesNothing) {
+  RecordCrashes("cause", {"a", "b", "c"});
   Adopt(ledger_, {"cause", "customer", {"a", "b"}}, now_);
   EXPECT_TRUE(IsQuarantined("cause"));
   Adopt(ledger_, {"cause", "customer", {"a", "b", "c"}}, now_);
   EXPECT_FALSE(IsQuarantined("cause"));
 }
 
-// A customer sends ever new requests that end endpoints. The book stays within
-// its bound, and what others are held back for stays in it.
-TEST_F(CrashLedgerTest, HostileCustomerPushesOutOnlyItsOwn) {
-  constexpr int kRequests = 100000;
+// A customer keeps sending new requests that crash endpoints. The ledger stays
+// within its limit, and the suspects of other customers stay in it.
+TEST_F(CrashLedgerTest, HostileCustomerEvictsOnlyItsOwnRequests) {
+  constexpr int kRequestCount = 100000;
   ledger_.options.max_requests = 256;
   NoteEnd(ledger_, {"known", "other", "a"}, now_);
   NoteEnd(ledger_, {"known", "other", "b"}, now_);
   NoteEnd(ledger_, {"known", "other", "c"}, now_);
   NoteEnd(ledger_, {"single", "other", "d"}, now_);
-  for (int i = 0; i < kRequests; ++i) {
-    End("hostile-" + std::to_string(i), "e" + std::to_string(i));
+  for (int i = 0; i < kRequestCount; ++i) {
+    RecordOneCrash("hostile-" + std::to_string(i), "e" + std::to_string(i));
     ASSERT_LE(ledger_.suspects.size(), ledger_.options.max_requests);
   }
   EXPECT_TRUE(IsQuarantined("known"));
@@ -206,10 +211,10 @@
   EXPECT_LE(ledger_.by_crash.size(), ledger_.options.max_requests + 3);
 }
 
-// Whatever comes in whichever order: a request that nothing serves is held back
-// from its third end that no other request shares, and the index of ends agrees
-// with the suspects.
-RC_GTEST_PROP(CrashLedgerProperty, IndexAgreesAndCausesAreFound, ()) {
+// For any order of reports: a request that is never served is quarantined from
+// its third crash that it shares with no other request, and the index by crash
+// agrees with the suspects.
+RC_GTEST_PROP(CrashLedgerProperty, IndexAgreesAndCausesAreQuarantined, ()) {
   crash_ledger ledger;
   ledger.options.max_requests = 8;
   core::time_point now{seconds(1000)};
@@ -235,14 +240,14 @@
       RC_ASSERT(!digests.empty());
       indexed += digests.size();
     }
-    size_t held = 0;
+    size_t stored = 0;
     for (const auto& [name, item] : ledger.suspects) {
-      held += item.ends.size();
+      stored += item.ends.size();
       for (const std::string& one : item.ends) {
         RC_ASSERT(ledger.by_crash.at(one).count(name) == 1U);
       }
     }
-    RC_ASSERT(indexed == held);
+    RC_ASSERT(indexed == stored);
   }
   const std::string cause = "cause";
   for (const char* end : {"x", "y", "z"}) {
--- a/tests/unit/quarantine/request_digest_test.cc
+++ b/tests/unit/quarantine/request_digest_test.cc
@@ -21,7 +21,7 @@
   return DigestOf(kKey, IdentityOf(input));
 }
 
-TEST(RequestDigestTest, AnotherIdIsTheSameRequest) {
+TEST(RequestDigestTest, DigestIgnoresTheId) {
   EXPECT_EQ(Digest(MakeRequest("first")), Digest(MakeRequest("second")));
 }
 
@@ -31,7 +31,7 @@
   EXPECT_EQ(Digest(MakeRequest("id")), Digest(other));
 }
 
-TEST(RequestDigestTest, AnotherCustomerMethodTargetOrBodyIsAnotherRequest) {
+TEST(RequestDigestTest, DigestCoversCustomerMethodTargetAndBody) {
   const std::string digest = Digest(MakeRequest("id"));
   net::request customer = MakeRequest("id");
   customer.headers[0].value = "other.example";
@@ -47,26 +47,28 @@
   EXPECT_NE(Digest(body), digest);
 }
 
-// A reader of logs who knows a body can't tell that it was sent.
-TEST(RequestDigestTest, AnotherKeyGivesAnotherDigest) {
+// Someone who reads the logs and has a body cannot find out whether it was
+// sent.
+TEST(RequestDigestTest, DigestDependsOnTheKey) {
   const net::request input = MakeRequest("id");
   EXPECT_NE(DigestOf("other", IdentityOf(input)), Digest(input));
 }
 
-// What is cheap to compute must not tell a request from itself.
-TEST(RequestDigestTest, HeadBeginsTheDigestAndLeavesOutTheBody) {
+// The check by prefix must not miss a suspected request: the digest of a
+// request always begins with its prefix.
+TEST(RequestDigestTest, PrefixLeavesOutTheContentOfTheBody) {
   const net::request input = MakeRequest("id");
   net::request same_size = MakeRequest("id");
   same_size.body = "clap";
-  const std::string head = DigestHeadOf(kKey, IdentityOf(input));
-  EXPECT_TRUE(Digest(input).starts_with(head));
-  EXPECT_TRUE(Digest(same_size).starts_with(head));
+  const std::string prefix = DigestHeadOf(kKey, IdentityOf(input));
+  EXPECT_TRUE(Digest(input).starts_with(prefix));
+  EXPECT_TRUE(Digest(same_size).starts_with(prefix));
   net::request longer = MakeRequest("id");
   longer.body = "clips";
-  EXPECT_FALSE(Digest(longer).starts_with(head));
+  EXPECT_FALSE(Digest(longer).starts_with(prefix));
 }
 
-RC_GTEST_PROP(RequestDigestTest, FieldsDoNotRunIntoEachOther,
+RC_GTEST_PROP(RequestDigestTest, FieldBoundariesAreEncoded,
               (const std::string& left, const std::string& right)) {
   RC_PRE(!right.empty());
   const std::string joined = left + right;
