--- a/packages/steps/step.h
+++ b/packages/steps/step.h
@@ -1,8 +1,8 @@
 #ifndef HICKORYWOOD_STEPS_STEP_H_
 #define HICKORYWOOD_STEPS_STEP_H_
 
-// Steps as the control group replicates them: what a trainer submitted, and the
-// results in the order in which they became readable.
+// Steps as the control group replicates them: the submission of the trainer,
+// and the results in the order in which they became readable.
 
 #include <cstdint>
 #include <map>
@@ -16,10 +16,10 @@
 
 namespace hickorywood::steps {
 
-// A plain request whose answer scores the text of a task. It is sent once the
-// text is whole, and may be repeated.
+// A plain request whose response is the score of a task's text. It is sent once
+// the text is complete, and may be repeated.
 struct reward_request {
-  std::string id;  // of the request; empty: the task has none
+  std::string id;  // request id; empty: the task has none
   std::string host;
   std::string path;
   std::string body;
@@ -27,7 +27,7 @@
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(reward_request, id, host, path,
                                                 body)
 
-// What runs a task.
+// The request that runs a task.
 struct task_request {
   std::string path;
   net::header_list headers;
@@ -41,27 +41,27 @@
 
 // One generation of a step.
 struct task {
-  std::string id;      // of the request that runs it
+  std::string id;      // id of the request that runs it
   std::string group;   // tasks of one group share their prompt
-  int64_t tokens = 0;  // of the prompt and the longest output together
-  // Empty: it was dropped, since the task has its result or its step is ended.
+  int64_t tokens = 0;  // prompt and maximum output together
+  // Empty: removed, because the task has its result or its step has ended.
   std::optional<task_request> request;
 };
-// The fields of the request stand beside those of the task. Without them it was
-// dropped.
+// The fields of the request are encoded next to those of the task. If they are
+// missing, the request was removed.
 // NOLINTBEGIN(readability-identifier-naming): the library looks for these names
 void to_json(nlohmann::json& tree, const task& input);
 void from_json(const nlohmann::json& tree, task& output);
 // NOLINTEND(readability-identifier-naming)
 
-// What a trainer submits.
+// A step as its trainer submits it.
 struct submission {
   std::string id;
   std::string host;
   std::string path;
   int64_t number = 0;  // of the step, from 0
   std::string model;
-  uint64_t minimum_version = 0;  // oldest weights that may generate its tokens
+  uint64_t minimum_version = 0;  // oldest weights that may generate tokens
   int64_t wanted_groups = 0;     // complete groups that the trainer waits for
   std::vector<task> tasks;
 };
@@ -71,14 +71,15 @@
 
 struct task_result {
   uint32_t task = 0;               // index in the submission
-  bool is_complete = false;        // false: given up
-  std::string output;              // data of all events, one a line
-  std::vector<uint64_t> versions;  // that generated an event of the output
-  // The mark of the endpoint that scored exactly this output; empty: the task
-  // has no reward request, or was given up.
+  bool is_complete = false;        // false: abandoned
+  std::string output;              // data of all events, one per line
+  std::vector<uint64_t> versions;  // weights that generated the output
+  // Signature of the endpoint that scored exactly this output. Empty: the task
+  // has no reward request, or was abandoned.
   std::string score;
-  // Where the result stands in the log, and the size and the hash of the output
-  // while it is only there. Of this process only, not encoded; 0: not known.
+  // Index of the log entry that contains the result, and size and hash of the
+  // output while it is only on disk. Local to this process, not encoded; 0:
+  // unknown.
   uint64_t index = 0;
   uint64_t bytes_on_disk = 0;
   uint64_t hash_on_disk = 0;
@@ -88,22 +89,22 @@
 
 struct step {
   submission input;
-  int64_t opened_ms = 0;      // wall clock of the leader that took it
-  uint64_t opened_index = 0;  // of the log entry; 0: not known
+  int64_t opened_ms = 0;      // wall clock of the leader that opened it
+  uint64_t opened_index = 0;  // of the log entry; 0: unknown
   bool is_ended = false;
   std::vector<task_result> results;  // by position
-  // Text so far of long tasks without a result, by task: a successor of the
-  // leader goes on after it.
+  // Text so far of long tasks without a result, by task: the next leader
+  // continues after it.
   std::map<uint32_t, generated_text> progress;
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(step, input, opened_ms,
                                                 is_ended, results, progress)
 
-// More text of one task, to be put behind what is known of it.
+// Further text of one task, to be appended to the text that the step has.
 struct task_progress {
   uint32_t task = 0;
-  uint64_t after = 0;   // events that it goes on from
-  generated_text text;  // `events` counts those before it too
+  uint64_t after = 0;   // number of the events before this text
+  generated_text text;  // `events` includes the events before it
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(task_progress, task, after,
                                                 text)
@@ -111,53 +112,55 @@
 // Steps by id.
 using step_book = std::map<std::string, step>;
 
-// Opens a step by the log entry `index`. False when one of that id is open
-// already: then nothing changes.
-bool OpenStep(step_book& book, submission input, int64_t now_ms,
+// Opens a step with the log entry `index`. Returns false and changes nothing if
+// a step with this id is open already.
+bool OpenStep(step_book& table, submission input, int64_t now_ms,
               uint64_t index);
 
-// Gives the results of the log entry `index` the next positions. A task that
-// has a position keeps it: results that are no news are passed over. Returns
-// how many were taken.
-size_t AddResults(step_book& book, const std::string& id,
+// Assigns the next positions to the results of the log entry `index`. A task
+// that has a result keeps it: further results of it are ignored. Returns the
+// number of results that were added.
+size_t AddResults(step_book& table, const std::string& id,
                   std::vector<task_result> results, uint64_t index);
 
-// Adds text to tasks that have no result. What does not fit to what is known is
-// passed over.
-void AddProgress(step_book& book, const std::string& id,
+// Adds text to tasks that have no result. Ignores text that does not continue
+// the stored one.
+void AddProgress(step_book& table, const std::string& id,
                  std::vector<task_progress> progress);
 
-// False when there is no such step.
-bool EndStep(step_book& book, const std::string& id);
+// Returns false if there is no such step.
+bool EndStep(step_book& table, const std::string& id);
 
-// Leaves outputs of ended steps on disk beyond `budget` bytes, those of the
-// newest steps last: their trainers have read what they want, and the texts of
-// two minutes are most of what a store holds.
-void LeaveOldOutputs(step_book& book, size_t budget);
+// Releases the memory of outputs of ended steps beyond `budget` bytes; they
+// stay on disk. The newest steps keep their outputs in memory. The trainers of
+// ended steps have read the results that they need, and the texts of two
+// minutes are most of what a store has in memory.
+void LeaveOldOutputs(step_book& table, size_t budget);
 
-// Puts an output that was left on disk back into a result that is handed out.
-// False with reason kCorrupt when it is not the one that was left.
+// Sets the output of a result that is about to be returned to the copy read
+// from disk. Returns false with reason kCorrupt if the copy has another size or
+// hash than the released output.
 bool TakeOutput(task_result& item, std::string output);
 
-// Drops the steps that were opened before `limit_ms` and are ended or older
-// than `oldest_ms`.
-void ForgetSteps(step_book& book, int64_t limit_ms, int64_t oldest_ms);
+// Removes ended steps that were opened before `limit_ms`, and open steps that
+// were opened before `oldest_ms`.
+void ForgetSteps(step_book& table, int64_t limit_ms, int64_t oldest_ms);
 
-bool HasResult(const step& where, uint32_t task);
+bool HasResult(const step& owner, uint32_t task);
 
-// Results from a position on, as many as fit.
+// Results from a position on, as many as fit in a page.
 struct result_page {
   uint64_t total = 0;            // tasks of the step
   uint64_t next = 0;             // first position after the page
-  std::vector<std::string> ids;  // of the tasks, beside `results`
+  std::vector<std::string> ids;  // task id of each result
   std::vector<task_result> results;
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(result_page, total, next, ids,
                                                 results)
 
-// At least one result if there is one, and no more bytes of output than
-// `page_bytes`.
-result_page ReadPage(const step& where, uint64_t after, size_t page_bytes);
+// Returns at least one result if there is one. Adds further ones as long as the
+// outputs have at most `page_bytes` bytes in total.
+result_page ReadPage(const step& owner, uint64_t after, size_t page_bytes);
 
 }  // namespace hickorywood::steps
 
