--- a/packages/steps/task_choice.cc
+++ b/packages/steps/task_choice.cc
@@ -6,34 +6,36 @@
 namespace hickorywood::steps {
 namespace {
 
-// Streams that an engine without heartbeats counts as having more: it is used
-// when the others are well filled, or when all are silent.
-constexpr double kDistrust = 6;
-// A prompt that is there already saves reading it again, which costs about as
-// much as a stream more in the batch.
-constexpr double kPromptAtHand = 1;
-// Times the usual gap from which an engine counts as slow. A full batch makes
-// events about half as slow again as a short one, so twice is no batch's doing.
-constexpr double kClearlySlow = 2;
-// ... and up to which another one is a place to go.
-constexpr double kFast = 1.5;
+// Additional streams that an engine without heartbeats is counted with: it is
+// used when the other engines are well filled, or when none sends heartbeats.
+constexpr double kNoHeartbeatPenaltyStreams = 6;
+// A cached prompt saves reading it again, which costs about as much as one more
+// stream in the batch.
+constexpr double kCachedPromptBonusStreams = 1;
+// Factor on the usual gap from which an engine counts as slow. A full batch
+// makes events about half as slow again as a short one, so a batch alone does
+// not reach this factor.
+constexpr double kMinSlowFactor = 2;
+// Factor up to which another engine is a target for moved runs.
+constexpr double kMaxTargetFactor = 1.5;
 
 double ExpectedCost(const engine_load& engine) {
   double cost = static_cast<double>(engine.running + 1);
-  if (!engine.is_trusted) cost += kDistrust;
-  if (engine.has_prompt) cost -= kPromptAtHand;
+  if (!engine.is_trusted) cost += kNoHeartbeatPenaltyStreams;
+  if (engine.has_prompt) cost -= kCachedPromptBonusStreams;
   return cost * engine.slowness;
 }
 
 }  // namespace
 
 std::optional<size_t> ChooseEngine(const std::vector<engine_load>& engines,
-                                   int64_t places, const std::string& left) {
+                                   int64_t max_streams,
+                                   const std::string& excluded) {
   std::optional<size_t> best;
   double best_cost = 0;
   for (size_t i = 0; i < engines.size(); ++i) {
-    if (engines[i].running >= std::min(engines[i].slots, places)) continue;
-    if (!left.empty() && engines[i].incarnation == left) continue;
+    if (engines[i].running >= std::min(engines[i].slots, max_streams)) continue;
+    if (!excluded.empty() && engines[i].incarnation == excluded) continue;
     const double cost = ExpectedCost(engines[i]);
     if (best && cost >= best_cost) continue;
     best = i;
@@ -43,15 +45,15 @@
 }
 
 std::vector<double> Slowness(const std::vector<double>& gaps_ms) {
-  std::vector<double> known;
+  std::vector<double> known_gaps;
   for (const double gap : gaps_ms) {
-    if (gap > 0) known.push_back(gap);
+    if (gap > 0) known_gaps.push_back(gap);
   }
   std::vector<double> slowness(gaps_ms.size(), 1);
-  if (known.empty()) return slowness;
+  if (known_gaps.empty()) return slowness;
   const auto usual =
-      known.begin() + static_cast<ptrdiff_t>((known.size() - 1) / 4);
-  std::nth_element(known.begin(), usual, known.end());
+      known_gaps.begin() + static_cast<ptrdiff_t>((known_gaps.size() - 1) / 4);
+  std::nth_element(known_gaps.begin(), usual, known_gaps.end());
   for (size_t i = 0; i < gaps_ms.size(); ++i) {
     if (gaps_ms[i] > 0) slowness[i] = gaps_ms[i] / *usual;
   }
@@ -60,11 +62,11 @@
 
 bool IsWorthMoving(const engine_load& from,
                    const std::vector<engine_load>& engines) {
-  if (from.slowness < kClearlySlow) return false;
+  if (from.slowness < kMinSlowFactor) return false;
   return std::any_of(engines.begin(), engines.end(),
                      [](const engine_load& other) {
                        return other.is_trusted && other.running < other.slots &&
-                              other.slowness < kFast;
+                              other.slowness < kMaxTargetFactor;
                      });
 }
 
--- a/packages/steps/task_choice.h
+++ b/packages/steps/task_choice.h
@@ -1,7 +1,7 @@
 #ifndef HICKORYWOOD_STEPS_TASK_CHOICE_H_
 #define HICKORYWOOD_STEPS_TASK_CHOICE_H_
 
-// Which task runs next, and at which engine. Decisions over plain data.
+// Decides which task runs next, and on which engine. Decisions over plain data.
 
 #include <cstdint>
 #include <limits>
@@ -11,45 +11,45 @@
 
 namespace hickorywood::steps {
 
-// What is known of an engine for the choice.
+// Load and speed of an engine.
 struct engine_load {
   std::string incarnation;
   int64_t slots = 0;
-  int64_t running = 0;  // own dispatches that are not over
-  // Time between two events against what is usual; 1: as fast.
+  int64_t running = 0;  // own dispatches in progress
+  // Time between two events relative to the usual one; 1: as fast.
   double slowness = 1;
-  bool is_trusted = true;   // false: silent towards the control group
-  bool has_prompt = false;  // it has read the prompt of the task's group
+  bool is_trusted = true;   // false: no heartbeat within the timeout
+  bool has_prompt = false;  // the prompt of the group is cached
 };
 
-// The engine for a task: the one that is expected to make its events fastest.
-// The batch of an engine slows each of its streams, so the shortest batch wins;
-// having read the group's prompt counts like one stream less. Engines with
-// `places` streams or more are passed over, and so is `left`, the incarnation
-// that the task was taken off for being slow: empty of other work it would look
-// best again. Empty: all are full.
+// Returns the engine that is expected to generate the events of a task fastest.
+// Each stream in the batch of an engine slows the others, so the shortest batch
+// is chosen; a cached prompt of the group counts like one stream less. Skips
+// engines that have `max_streams` streams or more, and the incarnation
+// `excluded`, from which the task was moved because it was slow: without other
+// work it would look best again. Returns nothing if all engines are full.
 std::optional<size_t> ChooseEngine(
     const std::vector<engine_load>& engines,
-    int64_t places = std::numeric_limits<int64_t>::max(),
-    const std::string& left = "");
+    int64_t max_streams = std::numeric_limits<int64_t>::max(),
+    const std::string& excluded = "");
 
-// How much slower an engine makes its events than its peers do: its time
-// between events against the median of all that have one. 0 in `gaps_ms`: not
-// known, and then 1.
+// How much slower each engine generates events than its peers: its time between
+// events divided by that of a fast engine, the lower quartile of all known
+// ones. A value of 0 in `gaps_ms` is unknown and results in 1.
 std::vector<double> Slowness(const std::vector<double>& gaps_ms);
 
-// Whether a run is worth moving: its engine is clearly slower than another one
-// that has room. Reading the text again there costs a few ms, an event of a
-// slow engine some hundred.
+// Whether moving a run pays off: its engine is clearly slower than another
+// engine with a free slot. Reading the text again there costs a few ms, and
+// each event of a slow engine some hundred.
 bool IsWorthMoving(const engine_load& from,
                    const std::vector<engine_load>& engines);
 
-// The order in which the tasks of a step start, as indices, by the length that
-// is expected of each (0: not known). A trainer waits for nearly all groups,
-// and most groups of eight have one text of five times the usual length: what
-// starts last of these ends the step. So the longest start first; short ones
-// fit in behind them. Equal ones keep the order of the step, in which groups
-// that were begun before come first.
+// The order in which the tasks of a step start, as indices, by the expected
+// length of each (0: unknown). A trainer waits for nearly all groups, and most
+// groups of eight have one text of five times the usual length; the last of
+// these to start determines when the step ends. So the longest tasks start
+// first, and short ones fit in after them. Tasks of equal length keep the order
+// of the step, in which groups that were begun before come first.
 std::vector<uint32_t> OrderTasks(const std::vector<int64_t>& expected);
 
 }  // namespace hickorywood::steps
