--- a/packages/steps/event_text.cc
+++ b/packages/steps/event_text.cc
@@ -10,16 +10,17 @@
 namespace hickorywood::steps {
 namespace {
 
-constexpr std::string_view kEventEnd = "\n\n";
+constexpr std::string_view kEventDelimiter = "\n\n";
 
-const std::string* FieldOf(const event_fields& fields, std::string_view name) {
+const std::string* FindField(const event_fields& fields,
+                             std::string_view name) {
   for (const auto& [field, value] : fields) {
     if (field == name) return &value;
   }
   return nullptr;
 }
 
-bool NotesVersion(const generated_text& text, uint64_t version) {
+bool HasVersion(const generated_text& text, uint64_t version) {
   return std::find(text.versions.begin(), text.versions.end(), version) !=
          text.versions.end();
 }
@@ -27,7 +28,7 @@
 }  // namespace
 
 std::optional<event_fields> TakeEvent(std::string& buffer) {
-  const size_t end = buffer.find(kEventEnd);
+  const size_t end = buffer.find(kEventDelimiter);
   if (end == std::string::npos) return std::nullopt;
   event_fields fields;
   const std::vector<std::string> lines =
@@ -39,7 +40,7 @@
     if (value.starts_with(' ')) value.erase(0, 1);
     fields.emplace_back(line.substr(0, colon), std::move(value));
   }
-  buffer.erase(0, end + kEventEnd.size());
+  buffer.erase(0, end + kEventDelimiter.size());
   return fields;
 }
 
@@ -48,7 +49,7 @@
   if (!version) return true;
   if (*version < rules.minimum_version) return false;
   return !rules.is_single_version || text.versions.empty() ||
-         NotesVersion(text, *version);
+         HasVersion(text, *version);
 }
 
 event_verdict AddEvent(generated_text& text, const event_fields& fields,
@@ -58,8 +59,8 @@
     const std::optional<uint64_t> version = read(field, value);
     if (version) run_version = version;
   }
-  const std::string* id_text = FieldOf(fields, "id");
-  const std::string* data = FieldOf(fields, "data");
+  const std::string* id_text = FindField(fields, "id");
+  const std::string* data = FindField(fields, "data");
   uint64_t id = 0;
   const bool is_next = id_text != nullptr && data != nullptr &&
                        absl::SimpleAtoi(*id_text, &id) && id == text.events + 1;
@@ -67,7 +68,7 @@
   if (run_version) {
     if (*run_version < rules.minimum_version) return event_verdict::kTooOld;
     if (!MayContinue(text, rules, run_version)) return event_verdict::kMixed;
-    if (!NotesVersion(text, *run_version)) {
+    if (!HasVersion(text, *run_version)) {
       text.versions.push_back(*run_version);
     }
   }
--- a/packages/steps/event_text.h
+++ b/packages/steps/event_text.h
@@ -1,10 +1,10 @@
 #ifndef HICKORYWOOD_STEPS_EVENT_TEXT_H_
 #define HICKORYWOOD_STEPS_EVENT_TEXT_H_
 
-// The text of one generation, put together from the events of one or several
-// runs. Each event is checked before it is used: ids without gaps, whole
-// frames. What does not fit ends the run; the text so far stays usable, and
-// another run goes on after its last event.
+// The text of one generation, assembled from the events of one or several runs.
+// Each event is checked before it is added: ids without gaps, complete frames.
+// An event that fails the check ends the run; the text so far stays usable, and
+// another run continues after its last event.
 
 #include <cstdint>
 #include <functional>
@@ -21,27 +21,28 @@
 // One event of a stream: its lines as (field, value).
 using event_fields = std::vector<std::pair<std::string, std::string>>;
 
-// Takes the first whole event off `buffer`. Empty when there is none yet.
+// Removes the first complete event from `buffer` and returns it. Returns
+// nothing if there is none yet.
 std::optional<event_fields> TakeEvent(std::string& buffer);
 
 struct generated_text {
-  uint64_t events = 0;             // taken so far; also the id of the last one
+  uint64_t events = 0;  // accepted so far; also the id of the last one
   std::vector<std::string> data;   // of each event
-  std::vector<uint64_t> versions;  // that made an event, in order of first use
-  bool is_whole = false;           // its last event is there
+  std::vector<uint64_t> versions;  // of the events, in order of first use
+  bool is_whole = false;           // its last event was received
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(generated_text, events, data,
                                                 versions, is_whole)
 
-// Reads the version that a field names, or nothing.
+// Returns the version that a field contains, or nothing.
 using version_reader = std::function<std::optional<uint64_t>(
     const std::string& field, const std::string& value)>;
 
 enum class event_verdict {
   kTaken,
-  kSpoiled,  // not the next event, or not an event at all
-  kTooOld,   // made under a version below the bound
-  kMixed,    // a second version where one is allowed
+  kSpoiled,  // not the next event, or malformed
+  kTooOld,   // generated under a version below the minimum
+  kMixed,    // a second version where only one is allowed
 };
 
 struct text_rules {
@@ -49,17 +50,17 @@
   bool is_single_version = false;
 };
 
-// Adds one event. `run_version` is the version that the run is under; an event
-// that names another one changes it from there on.
+// Adds one event. `run_version` is the version of the run; an event that
+// contains another version changes it from this event on.
 event_verdict AddEvent(generated_text& text, const event_fields& fields,
                        const text_rules& rules, const version_reader& read,
                        std::optional<uint64_t>& run_version);
 
-// Whether a run under `version` may go on with this text.
+// Whether a run under `version` may continue this text.
 bool MayContinue(const generated_text& text, const text_rules& rules,
                  std::optional<uint64_t> version);
 
-// The whole output: the data of all events, one a line.
+// The complete output: the data of all events, one per line.
 std::string JoinText(const generated_text& text);
 
 }  // namespace hickorywood::steps
