--- a/packages/steps/event_gap.h
+++ b/packages/steps/event_gap.h
@@ -1,11 +1,11 @@
 #ifndef HICKORYWOOD_STEPS_EVENT_GAP_H_
 #define HICKORYWOOD_STEPS_EVENT_GAP_H_
 
-// How long an engine takes between two events of a stream, from what its
-// streams show. A busy reader finds several events at once: taken one by one
-// their gaps are 0 and then a tenth of a second, and whichever came last made
-// engines that were as fast as any other look slow or fast. So time and events
-// are summed, and old ones fade.
+// Measures the time between two events of an engine's streams. A busy reader
+// finds several events at once. If each event had its own gap, most gaps would
+// be 0 and one a tenth of a second, and the latest gap would make engines of
+// equal speed look slow or fast. So the time and the events are summed, with
+// exponential decay.
 
 #include <chrono>
 #include <cstdint>
@@ -15,16 +15,16 @@
 namespace hickorywood::steps {
 
 struct event_gap {
-  double ms = 0;      // that the streams spent, faded
-  double events = 0;  // that came in them, faded
+  double ms = 0;      // spent by the streams, decayed
+  double events = 0;  // received in this time, decayed
   core::time_point at{};
 };
 
-// `events` came within `span` of a stream.
+// Records that `events` arrived in a stream within `span`.
 void NoteEvents(event_gap& gap, std::chrono::milliseconds span, uint64_t events,
                 core::time_point now);
 
-// Milliseconds between two events; 0: nothing was seen lately.
+// Milliseconds between two events; 0: no recent events.
 double GapMillis(const event_gap& gap, core::time_point now);
 
 }  // namespace hickorywood::steps
