--- a/packages/steps/reward_choice.h
+++ b/packages/steps/reward_choice.h
@@ -1,8 +1,8 @@
 #ifndef HICKORYWOOD_STEPS_REWARD_CHOICE_H_
 #define HICKORYWOOD_STEPS_REWARD_CHOICE_H_
 
-// Which text is scored next, when more wait than may be under way. A decision
-// over plain data.
+// Decides which texts are scored next when more are waiting than may be scored
+// concurrently. A decision over plain data.
 
 #include <cstddef>
 #include <cstdint>
@@ -18,9 +18,10 @@
   uint32_t task = 0;             // index in the step
 };
 
-// The order in which to send them, as indices: trainers wait for whole groups,
-// so first the one whose group lacks the least, then the oldest step, then the
-// order of the step, in which groups that were begun before come first.
+// The order in which to send the reward requests, as indices. Trainers wait for
+// complete groups, so the group with the fewest open tasks comes first, then
+// the oldest step, then the order of the step, in which groups that were begun
+// before come first.
 std::vector<size_t> OrderRewards(const std::vector<waiting_reward>& waiting);
 
 }  // namespace hickorywood::steps
