--- a/tests/unit/steps/event_gap_test.cc
+++ b/tests/unit/steps/event_gap_test.cc
@@ -9,24 +9,26 @@
 
 const core::time_point kStart = core::time_point(std::chrono::hours(1));
 
-// Two streams of engines that are as fast as each other. One is read event by
-// event, the other one by a busy process that finds four at a time. Neither
-// engine may look slow: a run was taken off it, five seconds into its text.
-TEST(EventGapTest, EventsThatWereReadTogetherTellTheSame) {
-  event_gap single;
-  event_gap together;
+// Streams of two engines of equal speed. One is read event by event, the other
+// one by a busy process that finds four events at a time. Guards against a run
+// that is moved off an engine that wrongly looks slow, five seconds into its
+// text.
+TEST(EventGapTest, EventsReadTogetherGiveTheSameGap) {
+  event_gap one_by_one;
+  event_gap in_batches;
   for (int i = 1; i <= 40; ++i) {
     const core::time_point now = kStart + i * milliseconds(50);
-    NoteEvents(single, milliseconds(50), 1, now);
-    if (i % 4 == 0) NoteEvents(together, milliseconds(200), 4, now);
+    NoteEvents(one_by_one, milliseconds(50), 1, now);
+    if (i % 4 == 0) NoteEvents(in_batches, milliseconds(200), 4, now);
   }
   const core::time_point now = kStart + milliseconds(2000);
-  EXPECT_DOUBLE_EQ(GapMillis(single, now), 50);
-  EXPECT_DOUBLE_EQ(GapMillis(together, now), 50);
+  EXPECT_DOUBLE_EQ(GapMillis(one_by_one, now), 50);
+  EXPECT_DOUBLE_EQ(GapMillis(in_batches, now), 50);
 }
 
-// An engine turns three times as slow. It shows within a second and a half.
-TEST(EventGapTest, AnEngineThatTurnsSlowShows) {
+// An engine becomes three times as slow. This is detected within a second and a
+// half.
+TEST(EventGapTest, SlowingEngineIsDetected) {
   event_gap gap;
   core::time_point now = kStart;
   for (int i = 0; i < 40; ++i) {
@@ -40,7 +42,7 @@
   EXPECT_GT(GapMillis(gap, now), 100);
 }
 
-TEST(EventGapTest, NothingIsKnownOfAnEngineThatWasNotUsed) {
+TEST(EventGapTest, UnusedEngineHasNoGap) {
   event_gap gap;
   EXPECT_EQ(GapMillis(gap, kStart), 0);
   NoteEvents(gap, milliseconds(50), 0, kStart);
