--- a/tests/unit/steps/pacing_test.cc
+++ b/tests/unit/steps/pacing_test.cc
@@ -1,5 +1,5 @@
-// When the short tasks of a step start, so that its few long texts run in short
-// batches: a step of many tasks at once, on more places than it needs.
+// Stream limit for the short tasks of a step: with more slots than the step
+// needs, its few long texts run in short batches.
 
 #include "steps/pacing.h"
 
@@ -15,7 +15,7 @@
 constexpr size_t kEngines = 8;
 constexpr task_time kDue{7.5};
 
-waiting_work Work(double runs_s, double age_s) {
+waiting_work MakeWork(double runs_s, double age_s) {
   waiting_work work;
   work.runs = task_time(runs_s);
   work.age = task_time(age_s);
@@ -23,63 +23,65 @@
   return work;
 }
 
-// 120 short tasks of 0.45 s each: half of the places carry them in time, the
-// other half would only make the long texts slower.
-TEST(PacingTest, NoMorePlacesThanTheWorkNeeds) {
-  const int64_t places = PlacesForShortTasks(Work(54, 0), kEngines, kSlots);
-  EXPECT_GE(places, 3);
-  EXPECT_LE(places, kSlots / 2);
+// 120 short tasks of 0.45 s each: half of the slots run them in time; the other
+// half would only slow the long texts down.
+TEST(PacingTest, LimitIsNoHigherThanNeeded) {
+  const int64_t max_streams =
+      PlacesForShortTasks(MakeWork(54, 0), kEngines, kSlots);
+  EXPECT_GE(max_streams, 3);
+  EXPECT_LE(max_streams, kSlots / 2);
 }
 
-// Long texts and another step's tasks fill some places. The short tasks get
-// theirs beside them, or they would wait for the end of their time.
-TEST(PacingTest, PlacesAreBesideWhatRunsAnyway) {
-  waiting_work work = Work(18, 0);
-  const int64_t alone = PlacesForShortTasks(work, kEngines, kSlots);
+// Long texts and another step's tasks run as well. They raise the limit, or the
+// short tasks would start only when their time is up.
+TEST(PacingTest, OtherStreamsRaiseTheLimit) {
+  waiting_work work = MakeWork(18, 0);
+  const int64_t without_others = PlacesForShortTasks(work, kEngines, kSlots);
   work.others = 4 * static_cast<int64_t>(kEngines);
-  EXPECT_EQ(PlacesForShortTasks(work, kEngines, kSlots), alone + 4);
+  EXPECT_EQ(PlacesForShortTasks(work, kEngines, kSlots), without_others + 4);
 }
 
-// Work that is late, or more than the places carry, is not held back.
-TEST(PacingTest, LateOrTooMuchWorkTakesAllPlaces) {
-  EXPECT_EQ(PlacesForShortTasks(Work(10, 3), kEngines, kSlots), kSlots);
-  EXPECT_EQ(PlacesForShortTasks(Work(500, 0), kEngines, kSlots), kSlots);
+// Tasks that are late, or too many to run in time, are not delayed.
+TEST(PacingTest, LateOrExcessWorkGetsAllSlots) {
+  EXPECT_EQ(PlacesForShortTasks(MakeWork(10, 3), kEngines, kSlots), kSlots);
+  EXPECT_EQ(PlacesForShortTasks(MakeWork(500, 0), kEngines, kSlots), kSlots);
 }
 
-// Nothing is known: no due time, no lengths yet, no engine.
-TEST(PacingTest, NothingKnownHoldsNothingBack) {
-  waiting_work work = Work(54, 0);
+// No due time, no lengths or no engine: tasks are not delayed.
+TEST(PacingTest, MissingEstimatesDelayNothing) {
+  waiting_work work = MakeWork(54, 0);
   work.due = task_time(0);
   EXPECT_EQ(PlacesForShortTasks(work, kEngines, kSlots), kSlots);
-  EXPECT_EQ(PlacesForShortTasks(Work(0, 0), kEngines, kSlots), kSlots);
-  EXPECT_EQ(PlacesForShortTasks(Work(54, 0), 0, kSlots), kSlots);
+  EXPECT_EQ(PlacesForShortTasks(MakeWork(0, 0), kEngines, kSlots), kSlots);
+  EXPECT_EQ(PlacesForShortTasks(MakeWork(54, 0), 0, kSlots), kSlots);
 }
 
 // Without hints every task counts as long, and all start at once.
-TEST(PacingTest, WithoutHintsAllAreLong) {
+TEST(PacingTest, TasksWithoutHintsAreLong) {
   EXPECT_TRUE(IsLong(0, 0));
   EXPECT_TRUE(IsLong(100, 160));
   EXPECT_FALSE(IsLong(20, 160));
 }
 
-// The more time has passed the more places are open, whatever the work is; some
-// place is open always. Otherwise a step could stand still.
-RC_GTEST_PROP(PacingPropertyTest, PlacesGrowWithTime, ()) {
+// The limit grows with time, whatever the work is, and is at least one.
+// Otherwise a step could make no progress.
+RC_GTEST_PROP(PacingPropertyTest, LimitGrowsWithTime, ()) {
   const double runs = *rc::gen::inRange(1, 400);
   const size_t engines = *rc::gen::inRange<size_t>(1, 50);
   const int64_t slots = *rc::gen::inRange<int64_t>(1, 40);
-  int64_t before = 1;
+  int64_t previous = 1;
   for (double age = 0; age < 4; age += 0.1) {
-    const int64_t places = PlacesForShortTasks(Work(runs, age), engines, slots);
-    RC_ASSERT(places >= before && places <= slots);
-    before = places;
+    const int64_t max_streams =
+        PlacesForShortTasks(MakeWork(runs, age), engines, slots);
+    RC_ASSERT(max_streams >= previous && max_streams <= slots);
+    previous = max_streams;
   }
-  RC_ASSERT(before == slots);
+  RC_ASSERT(previous == slots);
 }
 
-// Hints that are five times too long, or too short, for all tasks: what is
-// expected in time is the same.
-TEST(PacingTest, PaceMakesUpForScaledHints) {
+// Hints that are too long or too short by the same factor for all tasks: the
+// expected time is the same.
+TEST(PacingTest, PaceCompensatesScaledHints) {
   for (const int64_t scale : {1, 5, 25}) {
     run_pace pace;
     for (int64_t length : {10, 20, 160}) {
@@ -90,14 +92,15 @@
   }
 }
 
-TEST(PacingTest, RunsWithoutAHintTeachNothing) {
+TEST(PacingTest, RunsWithoutAHintAreIgnored) {
   run_pace pace;
   NoteRun(pace, task_time(3), 0);
   EXPECT_EQ(ExpectedTime(pace, 50), task_time(0));
 }
 
-// An engine with the allowed streams is passed over, also when it has places.
-TEST(PacingTest, EnginesAreFilledUpToThePlaces) {
+// An engine that runs the allowed number of streams is skipped, even if it has
+// free slots.
+TEST(PacingTest, EnginesAreFilledUpToMaxStreams) {
   std::vector<engine_load> engines(2);
   engines[0].slots = kSlots;
   engines[0].running = 3;
