--- a/tests/unit/steps/steps_test.cc
+++ b/tests/unit/steps/steps_test.cc
@@ -32,79 +32,80 @@
   return result;
 }
 
-// A trainer's submission arrives again after a lost answer. The step is opened
-// once, and what is listed of it stays.
+// A trainer repeats a submission whose response was lost. The step is opened
+// once, and its tasks and results stay.
 TEST(StepBookTest, RepeatedSubmissionChangesNothing) {
-  step_book book;
-  EXPECT_TRUE(OpenStep(book, MakeSubmission("s", 2), 100, 1));
-  AddResults(book, "s", {Result(1, "text")}, 0);
-  EXPECT_FALSE(OpenStep(book, MakeSubmission("s", 5), 200, 1));
-  EXPECT_EQ(book.at("s").input.tasks.size(), 2U);
-  EXPECT_EQ(book.at("s").results.size(), 1U);
+  step_book table;
+  EXPECT_TRUE(OpenStep(table, MakeSubmission("s", 2), 100, 1));
+  AddResults(table, "s", {Result(1, "text")}, 0);
+  EXPECT_FALSE(OpenStep(table, MakeSubmission("s", 5), 200, 1));
+  EXPECT_EQ(table.at("s").input.tasks.size(), 2U);
+  EXPECT_EQ(table.at("s").results.size(), 1U);
 }
 
-// Two leaders commit a result of the same task, with different texts. The task
-// keeps the position and the text that came first.
+// Two leaders commit a result of the same task with different texts. The task
+// keeps the position and the text of the first one.
 TEST(StepBookTest, TaskHasOnePosition) {
-  step_book book;
-  OpenStep(book, MakeSubmission("s", 2), 0, 1);
-  EXPECT_EQ(AddResults(book, "s", {Result(1, "first")}, 0), 1U);
-  EXPECT_EQ(AddResults(book, "s", {Result(1, "second"), Result(0, "other")}, 0),
-            1U);
-  EXPECT_EQ(AddResults(book, "s", {Result(7, "none such")}, 0), 0U);
-  const result_page page = ReadPage(book.at("s"), 0, 1000);
+  step_book table;
+  OpenStep(table, MakeSubmission("s", 2), 0, 1);
+  EXPECT_EQ(AddResults(table, "s", {Result(1, "first")}, 0), 1U);
+  EXPECT_EQ(
+      AddResults(table, "s", {Result(1, "second"), Result(0, "other")}, 0), 1U);
+  EXPECT_EQ(AddResults(table, "s", {Result(7, "none such")}, 0), 0U);
+  const result_page page = ReadPage(table.at("s"), 0, 1000);
   ASSERT_EQ(page.results.size(), 2U);
   EXPECT_EQ(page.results[0].output, "first");
   EXPECT_EQ(page.ids[0], "s-1");
   EXPECT_EQ(page.ids[1], "s-0");
 }
 
-// The leader is lost while whole texts wait for their scores. The successor
-// knows that they are whole, so that it asks for the score and does not run the
-// task again. Once a task has its result, or its step is ended, nothing of the
-// reward request is kept.
-TEST(StepBookTest, WholeTextIsKnownUntilItsScoreIsThere) {
-  step_book book;
+// The leader is lost while complete texts wait for their scores. The next
+// leader finds that they are complete, so it requests the score and does not
+// run the task again. Once a task has its result, or its step has ended, its
+// reward request is removed.
+TEST(StepBookTest, CompleteTextIsStoredUntilItsScoreArrives) {
+  step_book table;
   submission input = MakeSubmission("s", 2);
   for (task& item : input.tasks) {
     item.request->reward = {"r", "h", "/r/", "body"};
   }
-  OpenStep(book, input, 0, 1);
+  OpenStep(table, input, 0, 1);
   generated_text text;
   text.events = 2;
   text.data = {"a", "b"};
-  AddProgress(book, "s", {{0, 0, text}});
-  EXPECT_FALSE(book.at("s").progress.at(0).is_whole);
+  AddProgress(table, "s", {{0, 0, text}});
+  EXPECT_FALSE(table.at("s").progress.at(0).is_whole);
   generated_text rest;
   rest.events = 2;
   rest.is_whole = true;
-  AddProgress(book, "s", {{0, 2, rest}});
-  EXPECT_TRUE(book.at("s").progress.at(0).is_whole);
-  EXPECT_EQ(book.at("s").progress.at(0).data, text.data);
+  AddProgress(table, "s", {{0, 2, rest}});
+  EXPECT_TRUE(table.at("s").progress.at(0).is_whole);
+  EXPECT_EQ(table.at("s").progress.at(0).data, text.data);
   task_result scored = Result(0, "a\nb");
   scored.score = "mark";
-  AddResults(book, "s", {scored}, 2);
-  EXPECT_EQ(ReadPage(book.at("s"), 0, 1000).results[0].score, "mark");
-  EXPECT_FALSE(book.at("s").input.tasks[0].request);
-  EXPECT_TRUE(book.at("s").input.tasks[1].request->HasReward());
-  EndStep(book, "s");
-  EXPECT_FALSE(book.at("s").input.tasks[1].request);
+  AddResults(table, "s", {scored}, 2);
+  EXPECT_EQ(ReadPage(table.at("s"), 0, 1000).results[0].score, "mark");
+  EXPECT_FALSE(table.at("s").input.tasks[0].request);
+  EXPECT_TRUE(table.at("s").input.tasks[1].request->HasReward());
+  EndStep(table, "s");
+  EXPECT_FALSE(table.at("s").input.tasks[1].request);
 }
 
-// Guards against a dropped request that comes back as an empty one from a
-// snapshot or a message, and against one of an earlier release that is lost.
-TEST(StepBookTest, DroppedRequestIsToldFromAnEmptyOne) {
+// Guards against a removed request that is decoded as an empty one from a
+// snapshot or a message, and against losing a request that an earlier release
+// encoded.
+TEST(StepBookTest, RemovedRequestDiffersFromAnEmptyOne) {
   task empty;
   empty.id = "t";
   empty.request.emplace();
-  const auto kept = core::DecodeBinary<task>(core::EncodeBinary(empty));
-  ASSERT_TRUE(kept && kept->request);
-  EXPECT_TRUE(kept->request->body.empty());
+  const auto decoded = core::DecodeBinary<task>(core::EncodeBinary(empty));
+  ASSERT_TRUE(decoded && decoded->request);
+  EXPECT_TRUE(decoded->request->body.empty());
   empty.request.reset();
-  const auto dropped = core::DecodeBinary<task>(core::EncodeBinary(empty));
-  ASSERT_TRUE(dropped);
-  EXPECT_EQ(dropped->id, "t");
-  EXPECT_FALSE(dropped->request);
+  const auto removed = core::DecodeBinary<task>(core::EncodeBinary(empty));
+  ASSERT_TRUE(removed);
+  EXPECT_EQ(removed->id, "t");
+  EXPECT_FALSE(removed->request);
   const nlohmann::json earlier = {{"id", "t"},
                                   {"path", "/s/"},
                                   {"headers", nlohmann::json::array()},
@@ -112,14 +113,16 @@
                                   {"group", "g"},
                                   {"tokens", 3},
                                   {"reward", nlohmann::json::object()}};
-  const auto read = core::DecodeBinary<task>(core::EncodeBinary(earlier));
-  ASSERT_TRUE(read && read->request);
-  EXPECT_EQ(read->request->body, "b");
-  EXPECT_EQ(read->group, "g");
+  const auto earlier_task =
+      core::DecodeBinary<task>(core::EncodeBinary(earlier));
+  ASSERT_TRUE(earlier_task && earlier_task->request);
+  EXPECT_EQ(earlier_task->request->body, "b");
+  EXPECT_EQ(earlier_task->group, "g");
 }
 
-// Trainers wait for whole groups: the call whose group lacks the least is
-// first, then the older step, then the order of the step.
+// Trainers wait for complete groups: the reward request of the group with the
+// fewest open tasks is sent first, then that of the older step, then in the
+// order of the step.
 TEST(RewardChoiceTest, CompletesGroupsFirst) {
   const core::time_point old{std::chrono::seconds(1)};
   const core::time_point young{std::chrono::seconds(2)};
@@ -129,9 +132,9 @@
   EXPECT_TRUE(OrderRewards({}).empty());
 }
 
-// A step has more tasks than engines have places, and a few texts are five
-// times as long as the others. The long ones start first, wherever they stand;
-// where nothing is known of the lengths, the order of the step holds.
+// A step has more tasks than the engines have slots, and a few texts are five
+// times as long as the others. The long ones start first, wherever they are in
+// the step; where the lengths are unknown, the order of the step is kept.
 TEST(TaskOrderTest, LongestFirst) {
   EXPECT_EQ(OrderTasks({20, 110, 20, 0, 160}),
             (std::vector<uint32_t>{4, 1, 0, 2, 3}));
@@ -139,53 +142,53 @@
   EXPECT_TRUE(OrderTasks({}).empty());
 }
 
-// The leader of a step is lost in the middle of a long text. What was committed
-// of it is there for the successor; pieces that do not fit are passed over, and
-// a result ends it.
+// The leader of a step is lost in the middle of a long text. The next leader
+// has the committed part; parts that do not continue it are ignored, and a
+// result removes it.
 TEST(StepBookTest, ProgressOfLongTasks) {
-  step_book book;
-  OpenStep(book, MakeSubmission("s", 2), 0, 1);
+  step_book table;
+  OpenStep(table, MakeSubmission("s", 2), 0, 1);
   task_progress first;
   first.task = 1;
   first.text = {2, {"a", "b"}, {3}};
-  AddProgress(book, "s", {first});
+  AddProgress(table, "s", {first});
   task_progress next = first;
   next.after = 2;
   next.text = {3, {"c"}, {3, 4}};
-  AddProgress(book, "s", {next, next});
-  const generated_text& known = book.at("s").progress.at(1);
+  AddProgress(table, "s", {next, next});
+  const generated_text& known = table.at("s").progress.at(1);
   EXPECT_EQ(JoinText(known), "a\nb\nc");
   EXPECT_EQ(known.events, 3U);
   EXPECT_EQ(known.versions, std::vector<uint64_t>({3, 4}));
-  AddResults(book, "s", {Result(1, "a")}, 0);
-  AddProgress(book, "s", {first});
-  EXPECT_TRUE(book.at("s").progress.empty());
+  AddResults(table, "s", {Result(1, "a")}, 0);
+  AddProgress(table, "s", {first});
+  EXPECT_TRUE(table.at("s").progress.empty());
 }
 
-TEST(StepBookTest, PagesHaveAResultAndABound) {
-  step_book book;
-  OpenStep(book, MakeSubmission("s", 3), 0, 1);
+TEST(StepBookTest, PagesHaveAResultAndALimit) {
+  step_book table;
+  OpenStep(table, MakeSubmission("s", 3), 0, 1);
   AddResults(
-      book, "s",
+      table, "s",
       {Result(0, std::string(100, 'a')), Result(1, std::string(100, 'b')),
        Result(2, std::string(100, 'c'))},
       0);
-  EXPECT_EQ(ReadPage(book.at("s"), 0, 10).results.size(), 1U);
-  EXPECT_EQ(ReadPage(book.at("s"), 0, 250).results.size(), 2U);
-  EXPECT_EQ(ReadPage(book.at("s"), 1, 1000).next, 3U);
-  EXPECT_EQ(ReadPage(book.at("s"), 9, 1000).next, 9U);
+  EXPECT_EQ(ReadPage(table.at("s"), 0, 10).results.size(), 1U);
+  EXPECT_EQ(ReadPage(table.at("s"), 0, 250).results.size(), 2U);
+  EXPECT_EQ(ReadPage(table.at("s"), 1, 1000).next, 3U);
+  EXPECT_EQ(ReadPage(table.at("s"), 9, 1000).next, 9U);
 }
 
-TEST(StepBookTest, EndedStepsAreKeptForTheirRetention) {
-  step_book book;
-  OpenStep(book, MakeSubmission("ended", 1), 100, 1);
-  OpenStep(book, MakeSubmission("open", 1), 100, 1);
-  EndStep(book, "ended");
-  ForgetSteps(book, 100, 0);
-  EXPECT_EQ(book.size(), 2U);
-  ForgetSteps(book, 101, 0);
-  EXPECT_EQ(book.count("ended"), 0U);
-  EXPECT_EQ(book.count("open"), 1U);
+TEST(StepBookTest, EndedStepsAreRemovedAfterTheirRetention) {
+  step_book table;
+  OpenStep(table, MakeSubmission("ended", 1), 100, 1);
+  OpenStep(table, MakeSubmission("open", 1), 100, 1);
+  EndStep(table, "ended");
+  ForgetSteps(table, 100, 0);
+  EXPECT_EQ(table.size(), 2U);
+  ForgetSteps(table, 101, 0);
+  EXPECT_EQ(table.count("ended"), 0U);
+  EXPECT_EQ(table.count("open"), 1U);
 }
 
 const version_reader kRead =
@@ -201,9 +204,9 @@
   return AddEvent(text, *TakeEvent(buffer), rules, kRead, version);
 }
 
-// An event is lost, comes twice, or has no data. The text stays as it was, so
-// that another run can go on after its last event.
-TEST(EventTextTest, OnlyTheNextEventIsTaken) {
+// An event is lost, arrives twice, or has no data. The text stays as it was, so
+// that another run can continue after its last event.
+TEST(EventTextTest, OnlyTheNextEventIsAccepted) {
   generated_text text;
   std::optional<uint64_t> version = 3;
   EXPECT_EQ(Add(text, "id: 1\ndata: a", {}, version), event_verdict::kTaken);
@@ -217,7 +220,7 @@
 }
 
 // The engine swaps its weights in the middle of a run: the label lists both
-// versions, and a step that allows one only gets no text of two.
+// versions, and a step that allows only one rejects the event of the second.
 TEST(EventTextTest, VersionsAreThoseOfTheEvents) {
   generated_text text;
   std::optional<uint64_t> version = 3;
@@ -242,33 +245,34 @@
   EXPECT_TRUE(MayContinue(bounded, rules, 4));
 }
 
-// However the network cuts a stream, the same events come out.
-RC_GTEST_PROP(EventTextTest, PiecesDoNotMatter, ()) {
+// The same events are read, however the network splits a stream.
+RC_GTEST_PROP(EventTextTest, SplittingTheStreamDoesNotMatter, ()) {
   const std::string stream =
       "id: 1\ndata: a\n\nversion: 2\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n";
   std::string buffer;
-  std::string taken;
+  std::string joined;
   for (size_t at = 0; at < stream.size();) {
     const auto size = *rc::gen::inRange<size_t>(1, 12);
     buffer += stream.substr(at, size);
     at += size;
     while (const auto fields = TakeEvent(buffer)) {
-      taken += fields->back().second;
+      joined += fields->back().second;
     }
   }
-  RC_ASSERT(taken == "abc");
+  RC_ASSERT(joined == "abc");
   RC_ASSERT(buffer.empty());
 }
 
-RC_GTEST_PROP(EventTextTest, AnyBytesAreTaken, (const std::string& bytes)) {
+RC_GTEST_PROP(EventTextTest, AnyBytesAreHandled, (const std::string& bytes)) {
   std::string buffer = bytes;
   generated_text text;
   std::optional<uint64_t> version;
-  const version_reader none = [](const std::string&, const std::string&) {
+  const version_reader read_nothing = [](const std::string&,
+                                         const std::string&) {
     return std::optional<uint64_t>();
   };
   while (const auto fields = TakeEvent(buffer)) {
-    AddEvent(text, *fields, {}, none, version);
+    AddEvent(text, *fields, {}, read_nothing, version);
   }
 }
 
@@ -280,7 +284,7 @@
   return load;
 }
 
-TEST(TaskChoiceTest, ShortestBatchWinsAndFullEnginesAreLeftOut) {
+TEST(TaskChoiceTest, ChoosesShortestBatchAndSkipsFullEngines) {
   std::vector<engine_load> engines = {Engine("a", 3), Engine("b", 1),
                                       Engine("c", 4)};
   EXPECT_EQ(ChooseEngine(engines), 1U);
@@ -290,12 +294,11 @@
   EXPECT_FALSE(ChooseEngine({engines[0]}));
 }
 
-// A step's tasks share a prompt per group: an engine that has read it is worth
-// one stream more in its batch, and no more than that.
-// Seen: a text of 160 events was taken off a slow engine twice and went back
-// there both times, since the engine had nothing else to do by then. Its moves
-// were used up, and the step ended four seconds late.
-TEST(TaskChoiceTest, ATaskDoesNotReturnToTheEngineThatItLeft) {
+// Guards against moving a task back to the engine that it was moved off. A text
+// of 160 events was moved off a slow engine twice and returned both times,
+// since that engine had no other work by then. Its moves were used up, and the
+// step ended four seconds late.
+TEST(TaskChoiceTest, TaskDoesNotReturnToTheExcludedEngine) {
   std::vector<engine_load> engines = {Engine("a", 3), Engine("b", 0)};
   engines[1].slowness = 2.3;
   EXPECT_EQ(ChooseEngine(engines), 1U);
@@ -304,7 +307,9 @@
   EXPECT_FALSE(ChooseEngine(engines, 4, "b"));
 }
 
-TEST(TaskChoiceTest, PromptAtHandCountsLikeOneStream) {
+// The tasks of a group share a prompt: an engine that has cached it is worth
+// one stream more in its batch, and no more than that.
+TEST(TaskChoiceTest, CachedPromptCountsLikeOneStream) {
   std::vector<engine_load> engines = {Engine("a", 1), Engine("b", 1)};
   engines[1].has_prompt = true;
   EXPECT_EQ(ChooseEngine(engines), 1U);
@@ -312,21 +317,21 @@
   EXPECT_EQ(ChooseEngine(engines), 0U);
 }
 
-// Four engines of nine turn slow at once and are all known as slow; nothing
-// else is. Runs are worth moving off them as long as another one has room.
-TEST(TaskChoiceTest, ManySlowEnginesAreAllSeen) {
+// Four engines of nine become slow at once. All four are detected, and no other
+// one.
+TEST(TaskChoiceTest, SeveralSlowEnginesAreAllDetected) {
   const std::vector<double> slowness =
       Slowness({30, 31, 110, 112, 29, 105, 30, 108, 33});
   for (const size_t slow : {2, 3, 5, 7}) EXPECT_GT(slowness[slow], 3);
   for (const size_t fast : {0, 1, 4, 6, 8}) EXPECT_LT(slowness[fast], 1.2);
 }
 
-// One engine of nine turns slow: it counts as slow against its peers, and its
-// runs are worth moving as long as another one has room.
-TEST(TaskChoiceTest, SlowEngineIsSeenAgainstItsPeers) {
+// One engine of nine becomes slow: it is slow relative to its peers, and moving
+// its runs pays off as long as another engine has a free slot.
+TEST(TaskChoiceTest, SlowEngineIsDetectedAmongItsPeers) {
   std::vector<double> gaps(9, 30);
   gaps[4] = 110;
-  gaps[7] = 0;  // not known
+  gaps[7] = 0;  // unknown
   const std::vector<double> slowness = Slowness(gaps);
   EXPECT_NEAR(slowness[4], 110.0 / 30, 0.01);
   EXPECT_EQ(slowness[7], 1);
