--- a/packages/quarantine/crash_ledger.cc
+++ b/packages/quarantine/crash_ledger.cc
@@ -55,7 +55,7 @@
 // most: first those that are not quarantined, of these the ones with the fewest
 // crashes (none, if all were cleared), then the oldest. So a customer that
 // keeps sending new requests evicts only its own. Evicts several requests at a
-// time, since finding them scans the whole ledger.
+// time, since finding them scans the entire ledger.
 void EvictIfFull(crash_ledger& ledger) {
   if (ledger.suspects.size() < ledger.options.max_requests) return;
   std::map<std::string_view, size_t> counts;
--- a/packages/steps/pacing.h
+++ b/packages/steps/pacing.h
@@ -27,8 +27,8 @@
 
 // Number of streams on an engine up to which short tasks are started: the
 // number that lets all of them start in time, in addition to the streams that
-// run there anyway. Returns `slots` if the work does not fit or too little is
-// known.
+// run there anyway. Returns `slots` if the work does not fit or an estimate is
+// missing.
 int64_t PlacesForShortTasks(const waiting_work& work, size_t engines,
                             int64_t slots);
 
--- a/packages/steps/task_choice.h
+++ b/packages/steps/task_choice.h
@@ -34,8 +34,8 @@
     const std::string& excluded = "");
 
 // How much slower each engine generates events than its peers: its time between
-// events divided by that of a fast engine, the lower quartile of all known
-// ones. A value of 0 in `gaps_ms` is unknown and results in 1.
+// events divided by that of a fast engine, the lower quartile of all
+// measured ones. A value of 0 in `gaps_ms` is unknown and results in 1.
 std::vector<double> Slowness(const std::vector<double>& gaps_ms);
 
 // Whether moving a run pays off: its engine is clearly slower than another
