--- a/packages/steps/event_gap.cc
+++ b/packages/steps/event_gap.cc
@@ -5,8 +5,9 @@
 namespace hickorywood::steps {
 namespace {
 
-// Time constant of the decay. Several times the longest delay of a busy reader,
-// and short compared with the texts that a slow engine would delay.
+// Time constant of the decay: older samples fall to about a third (1/e) in this
+// time. Several times the longest delay of a busy reader, and short compared
+// with the texts that a slow engine would delay.
 constexpr std::chrono::duration<double> kDecayTime{0.7};
 // A gap older than this is ignored, so that the engine is tried again.
 constexpr std::chrono::seconds kMaxAge{3};
