--- a/packages/routing/adaptive_limit.cc
+++ b/packages/routing/adaptive_limit.cc
@@ -5,42 +5,47 @@
 namespace hickorywood::routing {
 namespace {
 
-// Share of a service's places that requests which can wait may take. The rest
-// is for the others: endpoints turn slow when they are nearly full, and a
-// request that finds a free place waits for nobody.
-constexpr double kMostShare = 0.5;
-// So many may always be under way: with fewer, nothing would be learned.
-constexpr double kLeast = 2;
-// Factor of the bound at a refusal.
-constexpr double kShrink = 0.7;
-// Refusals within this time are one: they were sent under the same bound.
-constexpr std::chrono::milliseconds kOneRefusal{200};
-
-double MostOf(int64_t slots) {
-  return std::max(kLeast, kMostShare * static_cast<double>(slots));
+// Share of a service's slots that deferrable requests may use. The rest is
+// reserved for interactive requests: endpoints slow down when they are nearly
+// full, and a request that finds a free slot starts without queueing.
+constexpr double kMaxSlotShare = 0.5;
+// Lower bound of the limit. Without requests in flight there would be no
+// answers from which the limit could grow again.
+constexpr double kMinRequests = 2;
+// Factor that is applied to the limit at a rejection.
+constexpr double kShrinkFactor = 0.7;
+// Rejections within this time count as one, because their requests were sent
+// under the same limit.
+constexpr std::chrono::milliseconds kRejectionWindow{200};
+
+double MaxRequests(int64_t slots) {
+  return std::max(kMinRequests, kMaxSlotShare * static_cast<double>(slots));
 }
 
-double Current(const adaptive_limit& limit, int64_t slots) {
-  const double most = MostOf(slots);
-  return limit.allowed > 0 ? std::min(limit.allowed, most) : most;
+double CurrentLimit(const adaptive_limit& limit, int64_t slots) {
+  const double max_requests = MaxRequests(slots);
+  return limit.allowed > 0 ? std::min(limit.allowed, max_requests)
+                           : max_requests;
 }
 
 }  // namespace
 
 int64_t AllowedNow(const adaptive_limit& limit, int64_t slots) {
-  return static_cast<int64_t>(Current(limit, slots));
+  return static_cast<int64_t>(CurrentLimit(limit, slots));
 }
 
-// One place more for each round of answers.
+// Raises the limit by about 1 for every `limit` answers (additive increase).
 void NoteServed(adaptive_limit& limit, int64_t slots) {
-  const double current = Current(limit, slots);
-  limit.allowed = std::min(MostOf(slots), current + 1 / current);
+  const double current = CurrentLimit(limit, slots);
+  limit.allowed = std::min(MaxRequests(slots), current + 1 / current);
 }
 
 void NoteRefused(adaptive_limit& limit, int64_t slots, core::time_point now) {
-  const bool is_same = limit.allowed > 0 && now - limit.shrunk_at < kOneRefusal;
-  if (is_same) return;
-  limit.allowed = std::max(kLeast, kShrink * Current(limit, slots));
+  const bool is_same_overload =
+      limit.allowed > 0 && now - limit.shrunk_at < kRejectionWindow;
+  if (is_same_overload) return;
+  limit.allowed =
+      std::max(kMinRequests, kShrinkFactor * CurrentLimit(limit, slots));
   limit.shrunk_at = now;
 }
 
--- a/packages/routing/adaptive_limit.h
+++ b/packages/routing/adaptive_limit.h
@@ -1,9 +1,9 @@
 #ifndef HICKORYWOOD_ROUTING_ADAPTIVE_LIMIT_H_
 #define HICKORYWOOD_ROUTING_ADAPTIVE_LIMIT_H_
 
-// How many requests that can wait may be under way to one service at once, so
-// that requests that can't wait find a place there. The bound follows what the
-// endpoints say: it shrinks when they refuse and grows while they don't.
+// Limits how many deferrable requests may be in flight to one service, so that
+// interactive requests find a free slot there. The limit shrinks when endpoints
+// reject requests for lack of capacity and grows while they serve them.
 
 #include <chrono>
 #include <cstdint>
@@ -13,17 +13,17 @@
 namespace hickorywood::routing {
 
 struct adaptive_limit {
-  double allowed = 0;  // requests at once; 0: nothing was learned yet
+  double allowed = 0;  // requests in flight; 0: no rejection or answer yet
   core::time_point shrunk_at{};
 };
 
-// Requests that may be under way at once before endpoints with `slots` places
-// together. 0 slots: nobody says how many there are.
+// The number of requests that may be in flight to endpoints that have `slots`
+// slots in total. `slots` is 0 when the number of slots is unknown.
 int64_t AllowedNow(const adaptive_limit& limit, int64_t slots);
 
-// A request was answered.
+// Raises the limit after an endpoint served a request.
 void NoteServed(adaptive_limit& limit, int64_t slots);
-// An endpoint said that it is full.
+// Lowers the limit after an endpoint rejected a request because it is full.
 void NoteRefused(adaptive_limit& limit, int64_t slots, core::time_point now);
 
 }  // namespace hickorywood::routing
