--- a/packages/routing/endpoint_health.cc
+++ b/packages/routing/endpoint_health.cc
@@ -8,7 +8,7 @@
 
 constexpr double kSpeedSmoothing = 0.2;
 constexpr milliseconds kSlowStartTime{2000};
-constexpr int64_t kSmallestLimit = 1;
+constexpr int64_t kMinConcurrencyLimit = 1;
 
 size_t CountAvailable(stats_table& table, const std::vector<std::string>& peers,
                       time_point now) {
@@ -40,8 +40,8 @@
   endpoint_stats& stats = table[id];
   ++stats.failures_in_row;
   if (stats.is_ejected || stats.failures_in_row < policy.failures) return false;
-  // With most endpoints failing the fault lies elsewhere; ejecting all would
-  // turn it into an outage.
+  // When most endpoints fail, the cause is probably not the endpoints, and
+  // ejecting all of them would cause an outage.
   const auto floor = static_cast<size_t>(
       std::ceil(policy.floor * static_cast<double>(peers.size())));
   if (CountAvailable(table, peers, now) <= floor) return false;
@@ -53,18 +53,18 @@
 void NoteOverload(endpoint_stats& stats, int64_t configured_limit) {
   const int64_t current =
       stats.concurrency_limit > 0 ? stats.concurrency_limit : configured_limit;
-  // Halving down from what is really there, or a limit far above it would take
-  // many refusals to bite.
-  const int64_t in_use = std::max(stats.outstanding, kSmallestLimit);
+  // Starts from the number of requests in flight: a limit far above that number
+  // would need many rejections before it takes effect.
+  const int64_t in_use = std::max(stats.outstanding, kMinConcurrencyLimit);
   stats.concurrency_limit =
-      std::max(kSmallestLimit, std::min(current, in_use) * 3 / 4);
+      std::max(kMinConcurrencyLimit, std::min(current, in_use) * 3 / 4);
 }
 
 bool IsAvailable(endpoint_stats& stats, time_point now) {
   if (!stats.is_ejected) return true;
   if (now < stats.ejected_until) return false;
   stats.is_ejected = false;
-  stats.returned_at = now;
+  stats.ejection_ended_at = now;
   stats.failures_in_row = 0;
   return true;
 }
@@ -75,13 +75,13 @@
   if (stats.concurrency_limit > 0) {
     limit = std::min(limit, stats.concurrency_limit);
   }
-  const auto since_return = now - stats.returned_at;
-  const bool is_starting =
-      stats.returned_at != time_point{} && since_return < kSlowStartTime;
-  if (!is_starting) return limit;
-  const double share = std::chrono::duration<double>(since_return) /
+  const auto since_ejection = now - stats.ejection_ended_at;
+  const bool is_in_slow_start = stats.ejection_ended_at != time_point{} &&
+                                since_ejection < kSlowStartTime;
+  if (!is_in_slow_start) return limit;
+  const double share = std::chrono::duration<double>(since_ejection) /
                        std::chrono::duration<double>(kSlowStartTime);
-  return std::max(kSmallestLimit,
+  return std::max(kMinConcurrencyLimit,
                   static_cast<int64_t>(share * static_cast<double>(limit)));
 }
 
--- a/packages/routing/endpoint_health.h
+++ b/packages/routing/endpoint_health.h
@@ -1,8 +1,8 @@
 #ifndef HICKORYWOOD_ROUTING_ENDPOINT_HEALTH_H_
 #define HICKORYWOOD_ROUTING_ENDPOINT_HEALTH_H_
 
-// What this instance has seen of one endpoint: its own requests there,
-// failures, ejection.
+// Health of an endpoint as this instance observes it: its own requests to the
+// endpoint, their failures, and the ejection of a failing endpoint.
 
 #include <chrono>
 #include <cstdint>
@@ -18,7 +18,7 @@
 using core::time_point;
 
 struct endpoint_stats {
-  int64_t outstanding = 0;  // requests of this instance there now
+  int64_t outstanding = 0;  // requests of this instance in flight there
   int64_t outstanding_at_report =
       0;  // `outstanding` when the endpoint last reported its load
   int64_t concurrency_limit = 0;  // adaptive; 0: not limited yet
@@ -26,41 +26,42 @@
   bool is_ejected = false;
   time_point ejected_until{};
   time_point
-      returned_at{};  // end of the last ejection; slow start counts from here
+      ejection_ended_at{};  // end of the last ejection, where slow start begins
   double token_seconds = 0;  // smoothed time per token; 0: no sample yet
 };
 
 struct ejection_policy {
   int64_t failures = 3;
   milliseconds time{5000};
-  double floor = 0.5;  // share of endpoints that stays in
+  double floor = 0.5;  // share of endpoints that is never ejected
 };
 
 using stats_table = std::map<std::string, endpoint_stats>;  // by endpoint id
 
-// Notes that a request succeeded. `generated_tokens` and `took` feed the speed;
-// 0 tokens: none.
+// Records a successful request. `generated_tokens` and `took` update the
+// measured speed; 0 tokens leave it unchanged.
 void NoteSuccess(endpoint_stats& stats, int64_t generated_tokens,
                  milliseconds took);
 
-// Notes a failure of the endpoint's own making (no connection, cut stream,
-// silence, 5xx). True when it led to an ejection. `peers` are the ids that the
-// floor counts, this one included.
+// Records a failure that the endpoint caused (no connection, cut stream,
+// timeout, 5xx). Returns true when the endpoint is ejected because of it.
+// `peers` are the ids of the endpoints to which `ejection_policy::floor`
+// applies, `id` included.
 bool NoteFailure(stats_table& table, const std::string& id,
                  const std::vector<std::string>& peers,
                  const ejection_policy& policy, time_point now);
 
-// Notes that the endpoint refused for lack of room: the limit shrinks, it is no
-// fault.
+// Records that the endpoint rejected a request for lack of capacity. This
+// lowers the concurrency limit and doesn't count as a failure.
 void NoteOverload(endpoint_stats& stats, int64_t configured_limit);
 
-// Whether the endpoint may be chosen at `now`. Ends an ejection whose time is
-// over.
+// Returns whether the endpoint may be chosen at `now`. Ends an ejection that
+// has expired.
 bool IsAvailable(endpoint_stats& stats, time_point now);
 
-// Requests that this instance may have there at once. After an ejection it
-// starts low and grows, so that an endpoint that is still warming up is not
-// buried.
+// The number of requests that this instance may have in flight at the endpoint.
+// After an ejection it starts low and grows, so that an endpoint that is still
+// warming up is not overloaded.
 int64_t AllowedConcurrency(const endpoint_stats& stats,
                            int64_t configured_limit, time_point now);
 
