--- a/packages/routing/retry_budget.cc
+++ b/packages/routing/retry_budget.cc
@@ -5,14 +5,15 @@
 namespace hickorywood::routing {
 namespace {
 
-// Enough for a low-traffic pool to lose an endpoint; small enough not to matter
-// as load.
-constexpr double kMostSaved = 50;
+// Upper bound of the saved retries. It covers the loss of an endpoint in a pool
+// with little traffic, and is too small to add significant load.
+constexpr double kMaxAvailableRetries = 50;
 
 }  // namespace
 
 void NoteSuccess(retry_budget& budget) {
-  budget.available = std::min(kMostSaved, budget.available + budget.share);
+  budget.available =
+      std::min(kMaxAvailableRetries, budget.available + budget.share);
 }
 
 bool TakeRetry(retry_budget& budget) {
--- a/packages/routing/retry_budget.h
+++ b/packages/routing/retry_budget.h
@@ -3,17 +3,17 @@
 
 namespace hickorywood::routing {
 
-// Retries as a share of successes, per pool or service. When most requests
-// fail, retrying each of them multiplies the load just when there is least room
-// for it; a budget caps the extra load.
+// Limits retries to a share of the successes, per pool or service. When most
+// requests fail, retrying each of them multiplies the load while capacity is
+// lowest; the budget bounds this additional load.
 struct retry_budget {
-  double share = 0.1;
-  double available = 10;
+  double share = 0.1;     // retries that one success adds
+  double available = 10;  // retries that may be made now
 };
 
 void NoteSuccess(retry_budget& budget);
 
-// Takes one retry; false when the budget is used up.
+// Consumes one retry. Returns false when the budget is exhausted.
 bool TakeRetry(retry_budget& budget);
 
 }  // namespace hickorywood::routing
