--- a/packages/routing/admission.cc
+++ b/packages/routing/admission.cc
@@ -7,9 +7,9 @@
 
 constexpr milliseconds kRateWindow{500};
 constexpr double kRateSmoothing = 0.3;
-// Requests that may wait while the rate is not known yet.
-constexpr size_t kWaitingWithoutRate = 64;
-constexpr milliseconds kShortestRetryAfter{100};
+// Requests that may wait while no completion rate has been measured.
+constexpr size_t kMaxWaitingWithoutRate = 64;
+constexpr milliseconds kMinRetryAfter{100};
 constexpr milliseconds kRetryAfterWithoutRate{1000};
 
 bool RemoveFrom(std::deque<waiting_request>& waiting, uint64_t id) {
@@ -38,8 +38,8 @@
     return;
   }
   fair_queue::lane& lane = queue.rollout_lanes[request.trainer];
-  // A trainer that was idle starts at the present: it saved up no claim on the
-  // past.
+  // A trainer that was idle starts at the current virtual time and gets no
+  // credit for its idle time.
   if (lane.waiting.empty()) {
     lane.finish = std::max(lane.finish, queue.virtual_time);
   }
@@ -112,12 +112,12 @@
 admission_decision Admit(const completion_rate& rate, size_t ahead,
                          milliseconds limit) {
   if (rate.per_second <= 0) {
-    const bool has_room = ahead < kWaitingWithoutRate;
+    const bool has_room = ahead < kMaxWaitingWithoutRate;
     return {has_room, has_room ? milliseconds(0) : kRetryAfterWithoutRate};
   }
   const milliseconds wait = ExpectedWait(rate, ahead);
   if (wait <= limit) return {true, milliseconds(0)};
-  return {false, std::max(kShortestRetryAfter, wait - limit)};
+  return {false, std::max(kMinRetryAfter, wait - limit)};
 }
 
 }  // namespace hickorywood::routing
--- a/packages/routing/admission.h
+++ b/packages/routing/admission.h
@@ -1,8 +1,8 @@
 #ifndef HICKORYWOOD_ROUTING_ADMISSION_H_
 #define HICKORYWOOD_ROUTING_ADMISSION_H_
 
-// Which waiting request goes next, and which ones are refused at once instead
-// of waiting in vain.
+// Decides which queued request starts next, and rejects requests immediately
+// whose expected wait is too long.
 
 #include <chrono>
 #include <cstdint>
@@ -23,19 +23,19 @@
 // One request that waits for an endpoint.
 struct waiting_request {
   uint64_t id = 0;
-  std::string trainer;  // whose share it counts against
+  std::string trainer;  // the trainer whose share the request uses
   traffic_class kind = traffic_class::kRollout;
   int64_t cost = 1;  // expected tokens
   time_point arrived_at{};
 };
 
-// A queue per trainer, served by weight: a trainer that asks for more than its
-// share waits for its own earlier requests, not the others. Interactive
-// requests go before rollouts.
+// Weighted fair queueing with one queue per trainer: when a trainer sends more
+// requests than its share, only its own requests wait longer. Interactive
+// requests start before rollouts.
 struct fair_queue {
   struct lane {
     std::deque<waiting_request> waiting;
-    double finish = 0;  // virtual time at which its last started request ends
+    double finish = 0;  // virtual finish time of the last started request
     int64_t weight = 1;
   };
   std::map<std::string, lane> rollout_lanes;  // by trainer
@@ -47,33 +47,35 @@
 void SetWeight(fair_queue& queue, const std::string& trainer, int64_t weight);
 void Push(fair_queue& queue, const waiting_request& request);
 
-// The request to start next; it leaves the queue. Empty when none waits.
+// Removes and returns the request to start next. Empty when the queue is empty.
 std::optional<waiting_request> Pop(fair_queue& queue);
 
-// Puts a popped request back at the head, when no endpoint had room after all.
+// Returns a popped request to the head of its queue when no endpoint has
+// capacity for it.
 void PutBack(fair_queue& queue, const waiting_request& request);
 
-// Takes a request out (its caller went away). False when it does not wait.
+// Removes a request whose caller has disconnected. Returns false when it is not
+// in the queue.
 bool Remove(fair_queue& queue, uint64_t id);
 
-// Rate at which requests of a pool finish, as seen by this instance.
+// Rate at which requests of a pool complete, measured by this instance.
 struct completion_rate {
-  double per_second = 0;  // smoothed; 0: not known
+  double per_second = 0;  // smoothed; 0: not measured yet
   time_point window_start{};
   int64_t in_window = 0;
 };
 
 void NoteCompletion(completion_rate& rate, time_point now);
 
-// Time that a request arriving now would wait behind `ahead` others.
+// Expected wait of a request that arrives now with `ahead` requests before it.
 milliseconds ExpectedWait(const completion_rate& rate, size_t ahead);
 
 struct admission_decision {
   bool is_admitted = false;
-  milliseconds retry_after{0};  // when refused
+  milliseconds retry_after{0};  // of a rejected request
 };
 
-// Refuses at once when the expected wait passes `limit`.
+// Rejects the request when its expected wait is longer than `limit`.
 admission_decision Admit(const completion_rate& rate, size_t ahead,
                          milliseconds limit);
 
