--- a/packages/routing/endpoint_choice.cc
+++ b/packages/routing/endpoint_choice.cc
@@ -7,31 +7,32 @@
 
 using std::chrono::milliseconds;
 
-// What another availability zone costs, in places of a queue: two more
-// crossings and bytes that are paid for, against about 25 ms a place.
-constexpr double kOtherZone = 0.3;
-// An endpoint without heartbeats is taken when the others are filled by this
-// many more requests.
-constexpr double kSilent = 4;
-// Age at which a load hint counts for nothing.
+// Cost of an endpoint in another availability zone, in queue positions. The
+// request crosses the zone boundary twice and its traffic is billed; one queue
+// position takes about 25 ms.
+constexpr double kOtherZoneCost = 0.3;
+// Cost of an endpoint without heartbeats, in queue positions: it is chosen when
+// the other endpoints have this many more requests.
+constexpr double kUnresponsiveCost = 4;
+// Age from which a load hint is ignored.
 constexpr milliseconds kHintLifetime{1000};
-// Age at which a latency counts for nothing, so that an endpoint that was slow
-// is tried again.
+// Age from which a latency is ignored, so that an endpoint that was slow is
+// tried again.
 constexpr milliseconds kLatencyLifetime{4000};
-constexpr double kLatencyWeight = 0.25;
-// Latency relative to the median up to which an endpoint counts as usual:
-// requests differ by that much themselves.
-constexpr double kUsualSpread = 1.8;
+constexpr double kLatencySmoothing = 0.25;
+// Ratio to the median latency up to which an endpoint is not considered slow:
+// latencies of different requests vary by this much on the same endpoint.
+constexpr double kNormalLatencyRatio = 1.8;
 constexpr milliseconds kAvoidAfterFailure{300};
 constexpr int kMostDoublings = 4;
-// A full endpoint has a place again after about one request.
+// A full endpoint has a free slot again after about one request duration.
 constexpr milliseconds kAvoidAfterFull{25};
 
-const endpoint_record& RecordOf(const endpoint_book& book,
-                                const std::string& incarnation) {
-  static const endpoint_record kNone;
+const endpoint_record& LoadOf(const endpoint_book& book,
+                              const std::string& incarnation) {
+  static const endpoint_record kNoLoad;
   const auto found = book.records.find(incarnation);
-  return found == book.records.end() ? kNone : found->second;
+  return found == book.records.end() ? kNoLoad : found->second;
 }
 
 bool IsLatencyKnown(const endpoint_record& record, core::time_point now) {
@@ -43,7 +44,7 @@
                      core::time_point now) {
   std::vector<double> known;
   for (const fleet::endpoint* item : candidates) {
-    const endpoint_record& record = RecordOf(book, item->incarnation);
+    const endpoint_record& record = LoadOf(book, item->incarnation);
     if (IsLatencyKnown(record, now)) known.push_back(record.latency_ms);
   }
   if (known.empty()) return 0;
@@ -56,16 +57,17 @@
 double ExpectedCost(const endpoint_record& record, const fleet::endpoint& item,
                     double median_ms, const choice_input& input) {
   double queue = static_cast<double>(record.outstanding + 1);
-  const auto age = std::chrono::duration<double>(input.now - record.hint_at);
+  const auto age =
+      std::chrono::duration<double>(input.now - record.load_hint_at);
   const double freshness =
       1 - age / std::chrono::duration<double>(kHintLifetime);
-  if (freshness > 0) queue += freshness * static_cast<double>(record.foreign);
+  if (freshness > 0) queue += freshness * static_cast<double>(record.external);
   double cost = queue;
   const bool is_slow = median_ms > 0 && IsLatencyKnown(record, input.now) &&
-                       record.latency_ms > kUsualSpread * median_ms;
+                       record.latency_ms > kNormalLatencyRatio * median_ms;
   if (is_slow) cost *= record.latency_ms / median_ms;
-  if (item.zone != input.own_zone) cost += kOtherZone;
-  if (item.state == fleet::endpoint_state::kSilent) cost += kSilent;
+  if (item.zone != input.own_zone) cost += kOtherZoneCost;
+  if (item.state == fleet::endpoint_state::kSilent) cost += kUnresponsiveCost;
   return cost;
 }
 
@@ -85,7 +87,7 @@
   double best_cost = 0;
   bool is_best_avoided = true;
   for (const fleet::endpoint* item : candidates) {
-    const endpoint_record& record = RecordOf(book, item->incarnation);
+    const endpoint_record& record = LoadOf(book, item->incarnation);
     const bool is_avoided = record.avoid_until > input.now;
     const double cost = ExpectedCost(record, *item, median_ms, input);
     const bool is_better = best == nullptr ||
@@ -117,14 +119,14 @@
       static_cast<double>(std::max<int64_t>(1, latency.count()));
   record.latency_ms =
       IsLatencyKnown(record, now)
-          ? record.latency_ms + kLatencyWeight * (sample - record.latency_ms)
+          ? record.latency_ms + kLatencySmoothing * (sample - record.latency_ms)
           : sample;
   record.latency_at = now;
   record.failures = 0;
   if (!hint) return;
-  record.foreign =
+  record.external =
       std::max<int64_t>(0, hint->running + hint->waiting - record.outstanding);
-  record.hint_at = now;
+  record.load_hint_at = now;
 }
 
 void NoteFailure(endpoint_book& book, const std::string& incarnation,
@@ -141,8 +143,8 @@
   record.avoid_until = std::max(record.avoid_until, now + kAvoidAfterFull);
 }
 
-void KeepOnly(endpoint_book& book,
-              const std::vector<fleet::endpoint>& endpoints) {
+void RemoveUnlisted(endpoint_book& book,
+                    const std::vector<fleet::endpoint>& endpoints) {
   std::set<std::string> known;
   for (const fleet::endpoint& item : endpoints) known.insert(item.incarnation);
   std::erase_if(book.records, [&known](const auto& item) {
--- a/packages/routing/endpoint_choice.h
+++ b/packages/routing/endpoint_choice.h
@@ -1,9 +1,9 @@
 #ifndef HICKORYWOOD_ROUTING_ENDPOINT_CHOICE_H_
 #define HICKORYWOOD_ROUTING_ENDPOINT_CHOICE_H_
 
-// Which endpoint of a service takes a plain request. Decisions over what one
-// entry knows: its own count of outstanding requests, which is exact, and the
-// load that endpoints add to their answers, which is late.
+// Chooses the endpoint of a service for a plain request, from the information
+// that one entry has: its own count of outstanding requests, which is exact,
+// and the load hints that endpoints add to their answers, which are delayed.
 
 #include <chrono>
 #include <cstdint>
@@ -20,13 +20,13 @@
 namespace hickorywood::routing {
 
 struct endpoint_record {
-  int64_t outstanding = 0;  // own requests
-  double latency_ms = 0;    // of answered requests, smoothed; 0: not known
+  int64_t outstanding = 0;  // requests of this entry
+  double latency_ms = 0;    // of answered requests, smoothed; 0: no sample
   core::time_point latency_at{};
-  // Requests of other entries, as of `hint_at`.
-  int64_t foreign = 0;
-  core::time_point hint_at{};
-  int failures = 0;  // in a row
+  // Requests of other entries at the endpoint, as of `load_hint_at`.
+  int64_t external = 0;
+  core::time_point load_hint_at{};
+  int failures = 0;  // consecutive
   core::time_point avoid_until{};
 };
 
@@ -38,13 +38,14 @@
   const std::vector<fleet::endpoint>* endpoints = nullptr;
   std::string_view service;
   std::string_view own_zone;
-  const std::set<std::string>* excluded = nullptr;  // tried before
+  const std::set<std::string>* excluded =
+      nullptr;  // incarnations that were tried
   core::time_point now{};
 };
 
-// The endpoint that is expected to answer first, or nullptr when there is none
-// that could take the request. Endpoints that failed lately are taken only when
-// there is no other.
+// Returns the endpoint with the lowest expected cost, or nullptr when no
+// endpoint can accept the request. Endpoints that failed recently are chosen
+// only when there is no alternative.
 const fleet::endpoint* ChooseEndpoint(const endpoint_book& book,
                                       const choice_input& input);
 
@@ -54,16 +55,17 @@
                 std::chrono::milliseconds latency,
                 const std::optional<fleet::load_hint>& hint,
                 core::time_point now);
-// It was unreachable, cut the answer off, or spoiled it.
+// The endpoint was unreachable, or its answer was cut off or malformed.
 void NoteFailure(endpoint_book& book, const std::string& incarnation,
                  core::time_point now);
-// It said that it is full.
+// The endpoint rejected a request because it is full.
 void NoteFull(endpoint_book& book, const std::string& incarnation,
               core::time_point now);
 
-// Drops what is known of endpoints that are gone.
-void KeepOnly(endpoint_book& book,
-              const std::vector<fleet::endpoint>& endpoints);
+// Removes the records of incarnations that are neither in `endpoints` nor have
+// outstanding requests.
+void RemoveUnlisted(endpoint_book& book,
+                    const std::vector<fleet::endpoint>& endpoints);
 
 }  // namespace hickorywood::routing
 
--- a/packages/routing/request_sender.cc
+++ b/packages/routing/request_sender.cc
@@ -103,7 +103,7 @@
       own_zone_(std::move(own_zone)) {}
 
 void request_sender::OnEndpoints() {
-  KeepOnly(book_, view_.endpoints);
+  RemoveUnlisted(book_, view_.endpoints);
   // Connections to a start that is over are dead, or lead to its successor.
   std::map<std::string, std::string> addresses;
   for (const fleet::endpoint& item : view_.endpoints) {
