--- a/packages/routing/connection_suspicion.cc
+++ b/packages/routing/connection_suspicion.cc
@@ -3,14 +3,15 @@
 namespace hickorywood::routing {
 namespace {
 
-// A little more than the idle age past which the HTTP client drops connections.
-constexpr core::milliseconds kSuspicionTime{21000};
+// Slightly longer than the idle age at which the HTTP client closes
+// connections.
+constexpr core::milliseconds kSuspicionDuration{21000};
 
 }  // namespace
 
 void NoteSilence(connection_suspicion& suspicion, const std::string& peer,
                  core::time_point now) {
-  suspicion.until[peer] = now + kSuspicionTime;
+  suspicion.until[peer] = now + kSuspicionDuration;
 }
 
 bool NeedsFreshConnection(const connection_suspicion& suspicion,
--- a/packages/routing/connection_suspicion.h
+++ b/packages/routing/connection_suspicion.h
@@ -8,12 +8,12 @@
 
 namespace hickorywood::routing {
 
-// Which peers may have connections that went silent. Something between two ends
-// can lose track of all open connections while new ones work: each call on an
-// old one then runs into its time-out, one after the other. The first silence
-// says nothing about the peer, but it puts all connections of that age under
-// suspicion: until the client has dropped them for their idle age, calls to
-// that peer open new ones.
+// Tracks peers whose open connections may be dead. A device between two hosts
+// can lose the state of all established connections while new connections work;
+// each call on an old connection then times out, one after the other. The first
+// timeout is no evidence about the peer itself, but all connections of that age
+// become suspected: until the HTTP client has closed them because of their idle
+// age, calls to that peer use new connections.
 struct connection_suspicion {
   std::map<std::string, core::time_point> until;  // by peer
 };
