--- a/packages/routing/choice.cc
+++ b/packages/routing/choice.cc
@@ -9,10 +9,12 @@
 namespace hickorywood::routing {
 namespace {
 
-bool HasRoom(const candidate& item) { return item.outstanding < item.allowed; }
+bool HasCapacity(const candidate& item) {
+  return item.outstanding < item.allowed;
+}
 
-// Expected cost of one more request there: requests ahead, weighted by how slow
-// the endpoint is compared with the fastest that is known.
+// Expected cost of sending one more request to the endpoint: the requests
+// there, weighted by its time per token relative to the fastest endpoint.
 double ExpectedCost(const candidate& item, double fastest) {
   const bool is_known = item.token_seconds > 0 && fastest > 0;
   const double slowness = is_known ? item.token_seconds / fastest : 1.0;
@@ -29,8 +31,8 @@
   return fastest;
 }
 
-int64_t LeastLoad(const std::vector<candidate>& candidates,
-                  const std::vector<size_t>& open, bool same_zone) {
+int64_t MinLoad(const std::vector<candidate>& candidates,
+                const std::vector<size_t>& open, bool same_zone) {
   int64_t least = std::numeric_limits<int64_t>::max();
   for (const size_t index : open) {
     if (candidates[index].is_same_zone == same_zone) {
@@ -40,15 +42,16 @@
   return least;
 }
 
-// Keeps to the own zone while it is not clearly busier than the others.
+// Restricts the choice to the own zone unless its load exceeds that of the
+// other zones by more than `zone_spill_margin`.
 std::vector<size_t> PreferZone(const choice_policy& policy,
                                const std::vector<candidate>& candidates,
                                const std::vector<size_t>& open) {
   constexpr int64_t kNone = std::numeric_limits<int64_t>::max();
-  const int64_t here = LeastLoad(candidates, open, true);
-  const int64_t elsewhere = LeastLoad(candidates, open, false);
-  if (here == kNone || elsewhere == kNone) return open;
-  if (here > elsewhere + policy.zone_spill_margin) return open;
+  const int64_t own_zone_load = MinLoad(candidates, open, true);
+  const int64_t other_zones_load = MinLoad(candidates, open, false);
+  if (own_zone_load == kNone || other_zones_load == kNone) return open;
+  if (own_zone_load > other_zones_load + policy.zone_spill_margin) return open;
   std::vector<size_t> same_zone;
   for (const size_t index : open) {
     if (candidates[index].is_same_zone) same_zone.push_back(index);
@@ -56,11 +59,11 @@
   return same_zone;
 }
 
-// The endpoint that rendezvous hashing gives the prefix: each instance finds
-// the same one without talking, and one endpoint more or less moves only the
-// prefixes of that one.
-size_t HomeOfPrefix(const std::vector<candidate>& candidates,
-                    const std::vector<size_t>& open, uint64_t prefix_hash) {
+// Returns the endpoint to which rendezvous hashing assigns the prefix. All
+// instances compute the same endpoint without communication, and adding or
+// removing an endpoint moves only the prefixes of that endpoint.
+size_t PrefixEndpoint(const std::vector<candidate>& candidates,
+                      const std::vector<size_t>& open, uint64_t prefix_hash) {
   size_t best = open.front();
   uint64_t best_score = 0;
   for (const size_t index : open) {
@@ -121,7 +124,7 @@
                                      uint64_t prefix_hash) {
   std::vector<size_t> open;
   for (size_t i = 0; i < candidates.size(); ++i) {
-    if (HasRoom(candidates[i])) open.push_back(i);
+    if (HasCapacity(candidates[i])) open.push_back(i);
   }
   if (open.empty()) return std::nullopt;
   switch (policy.method) {
@@ -132,12 +135,12 @@
     case choice_method::kTwoChoices:
       break;
   }
-  const std::vector<size_t> near = PreferZone(policy, candidates, open);
+  const std::vector<size_t> preferred = PreferZone(policy, candidates, open);
   if (policy.uses_affinity && prefix_hash != 0) {
-    const size_t home = HomeOfPrefix(candidates, near, prefix_hash);
-    if (IsWithinBound(policy, candidates, near, home)) return home;
+    const size_t assigned = PrefixEndpoint(candidates, preferred, prefix_hash);
+    if (IsWithinBound(policy, candidates, preferred, assigned)) return assigned;
   }
-  return BetterOfTwo(state, candidates, near);
+  return BetterOfTwo(state, candidates, preferred);
 }
 
 }  // namespace hickorywood::routing
