--- a/packages/routing/request_sender.cc
+++ b/packages/routing/request_sender.cc
@@ -22,31 +22,31 @@
 using core::milliseconds;
 using core::time_point;
 
-// Share of a route's objective after which a second copy of an idempotent
-// request is sent. Few answers take that long when all is well, and enough of
-// the objective is left for the copy.
-constexpr double kHedgeShare = 0.5;
-constexpr milliseconds kShortestHedge{20};
-// Where a route names no objective.
-constexpr milliseconds kDefaultHedge{500};
+// Share of a route's latency objective after which a second copy of an
+// idempotent request is sent. Few answers take that long in normal operation,
+// and enough of the objective remains for the copy.
+constexpr double kHedgeDelayShare = 0.5;
+constexpr milliseconds kMinHedgeDelay{20};
+// Delay for a route without an objective.
+constexpr milliseconds kDefaultHedgeDelay{500};
 
 milliseconds Since(time_point start, time_point now) {
   return std::chrono::duration_cast<milliseconds>(now - start);
 }
 
 milliseconds HedgeDelay(const fleet::route& where) {
-  if (where.objective_ms <= 0) return kDefaultHedge;
+  if (where.objective_ms <= 0) return kDefaultHedgeDelay;
   const milliseconds delay(static_cast<int64_t>(
-      kHedgeShare * static_cast<double>(where.objective_ms)));
-  return std::max(delay, kShortestHedge);
+      kHedgeDelayShare * static_cast<double>(where.objective_ms)));
+  return std::max(delay, kMinHedgeDelay);
 }
 
-// Why an attempt brought no usable answer, in words.
-std::string ProblemOf(const net::call_result& call,
-                      const fleet::answer_marks& marks) {
+// Describes why an attempt returned no usable answer.
+std::string DescribeFailure(const net::call_result& call,
+                            const fleet::answer_marks& marks) {
   if (call.how != net::progress::kAnswered) return call.error;
-  if (marks.is_not_run) return "the endpoint did not run it";
-  return "the answer bears no mark of its endpoint";
+  if (marks.is_not_run) return "the endpoint did not run the request";
+  return "the answer does not contain the mark of the endpoint";
 }
 
 }  // namespace
@@ -56,24 +56,24 @@
   return std::uniform_real_distribution<double>(0, 1)(random);
 }
 
-// How one attempt ended.
+// The result of one attempt.
 struct request_sender::attempt_result {
   bool is_cancelled = false;
   bool may_have_run = false;
-  bool is_usable = false;  // the endpoint's own whole answer
+  bool is_usable = false;  // complete and marked by its endpoint
   net::response answer;
 };
 
 // The attempts of one request.
-struct request_sender::race {
+struct request_sender::send_state {
   send_terms terms;
   std::string service;
   time_point hedge_at{};
   std::set<std::string> tried;
-  std::vector<attempt_result> results;  // not looked at yet
+  std::vector<attempt_result> results;  // not processed yet
   std::vector<net::cancel_signal> cancels;
   int running = 0;
-  int may_have_run = 0;  // ended attempts
+  int may_have_run = 0;  // finished attempts
   int refusals = 0;
   int failed_answers = 0;
   std::optional<net::response> best;  // usable answer so far
@@ -104,7 +104,8 @@
 
 void request_sender::OnEndpoints() {
   RemoveUnlisted(book_, view_.endpoints);
-  // Connections to a start that is over are dead, or lead to its successor.
+  // Connections to a terminated incarnation are dead, or lead to the
+  // incarnation that replaced it.
   std::map<std::string, std::string> addresses;
   for (const fleet::endpoint& item : view_.endpoints) {
     addresses[item.incarnation] = item.address;
@@ -115,7 +116,7 @@
   addresses_ = std::move(addresses);
 }
 
-bool request_sender::MayStart(const race& state) const {
+bool request_sender::MayStart(const send_state& state) const {
   if (clock_.Now() >= state.terms.deadline) return false;
   if (state.refusals > kMostRefusals) return false;
   const int count = state.running + state.may_have_run;
@@ -127,7 +128,7 @@
 }
 
 bool request_sender::IsSendable(
-    race& state, const quarantine::request_identity& identity) const {
+    send_state& state, const quarantine::request_identity& identity) const {
   const quarantine::verdict found = crashes_.Check(identity);
   state.is_suspected =
       found.standing == quarantine::request_standing::kSuspected;
@@ -135,7 +136,7 @@
     return true;
   }
   state.quarantined_for = found.left;
-  state.problem = "endpoints end under this request; it is held back";
+  state.problem = "endpoints crash while running this request; it is held back";
   LogEvent(event_id::kRequestRefused,
            {{"request", state.terms.id},
             {"digest", found.digest},
@@ -146,11 +147,11 @@
 
 awaitable<send_outcome> request_sender::Send(const net::request& input,
                                              const send_terms& terms) {
-  const auto state = std::make_shared<race>();
-  // Ends the attempts with this frame: at an answer, at the deadline, or when
-  // the caller is gone.
+  const auto state = std::make_shared<send_state>();
+  // Cancels the attempts when this coroutine frame is destroyed: after an
+  // answer, at the deadline, or when the caller has disconnected.
   struct canceller {
-    std::shared_ptr<race> owner;
+    std::shared_ptr<send_state> owner;
     ~canceller() { owner->CancelAll(); }
   };
   const canceller guard{state};
@@ -160,7 +161,8 @@
   for (;;) {
     const bool is_time = state->running == 0 || clock_.Now() >= state->hedge_at;
     const bool is_due = is_time && MayStart(*state);
-    // What ended under the attempts before may have changed how it stands.
+    // Crashes during earlier attempts may have changed the quarantine state, so
+    // MayStart() is evaluated again.
     if (is_due && IsSendable(*state, identity) && MayStart(*state)) {
       StartAttempt(state, input);
     }
@@ -168,7 +170,7 @@
     const bool may_hedge = MayStart(*state) && clock_.Now() < state->hedge_at;
     co_await state->changed.WaitUntil(
         may_hedge ? std::min(terms.deadline, state->hedge_at) : terms.deadline);
-    TakeResults(*state, identity);
+    ProcessResults(*state, identity);
     const bool is_over = state->best && state->best->status < 500;
     if (is_over || clock_.Now() >= terms.deadline) break;
   }
@@ -185,7 +187,7 @@
   co_return outcome;
 }
 
-bool request_sender::StartAttempt(const std::shared_ptr<race>& state,
+bool request_sender::StartAttempt(const std::shared_ptr<send_state>& state,
                                   const net::request& input) {
   choice_input choice;
   choice.endpoints = &view_.endpoints;
@@ -195,7 +197,7 @@
   choice.now = clock_.Now();
   const fleet::endpoint* target = ChooseEndpoint(book_, choice);
   if (target == nullptr) {
-    state->problem = "no endpoint is left to try";
+    state->problem = "no further endpoint is available";
     state->hedge_at = time_point::max();
     return false;
   }
@@ -223,14 +225,15 @@
 }
 
 awaitable<request_sender::attempt_result> request_sender::Attempt(
-    std::shared_ptr<race> state, fleet::endpoint target, net::request output) {
+    std::shared_ptr<send_state> state, fleet::endpoint target,
+    net::request output) {
   const time_point started = clock_.Now();
   net::call_options options;
   options.connect_deadline =
       std::min(state->terms.deadline, started + kConnectTimeout);
   options.deadline = state->terms.deadline;
-  // A reused connection can turn out dead after the request was written, and
-  // then nobody knows whether it ran.
+  // A reused connection can turn out to be dead after the request was
+  // written; it is then unknown whether the endpoint ran the request.
   options.needs_fresh =
       state->terms.where.kind != fleet::route_kind::kIdempotent;
   options.expected = wire_.RequestIdHeader(state->terms.id);
@@ -250,12 +253,13 @@
   } else {
     result.may_have_run = call.how != net::progress::kNotSent;
     NoteFailure(book_, target.incarnation, now);
-    // Ending it was our own doing where the caller left or another copy won.
+    // The attempt was cancelled locally when the caller disconnected or another
+    // copy was answered first; the endpoint did not break the connection then.
     const auto cancellation = co_await asio::this_coro::cancellation_state;
     const bool is_cancelled =
         cancellation.cancelled() != asio::cancellation_type::none;
-    const bool is_given_up = call.is_timeout || is_cancelled;
-    if (result.may_have_run && !is_given_up) {
+    const bool is_abandoned = call.is_timeout || is_cancelled;
+    if (result.may_have_run && !is_abandoned) {
       crashes_.NoteBroken(quarantine::IdentityOf(output), target);
     } else if (result.may_have_run && !state->best) {
       crashes_.NoteGivenUp(quarantine::IdentityOf(output), target);
@@ -267,15 +271,15 @@
               {"endpoint", target.incarnation},
               {"status", std::to_string(call.answer.status)},
               {"may_have_run", result.may_have_run ? "true" : "false"},
-              {"reason", ProblemOf(call, marks)},
+              {"reason", DescribeFailure(call, marks)},
               {"ms", std::to_string(Since(started, now).count())}});
   }
   result.answer = std::move(call.answer);
   co_return result;
 }
 
-void request_sender::TakeResults(race& state,
-                                 const quarantine::request_identity& identity) {
+void request_sender::ProcessResults(
+    send_state& state, const quarantine::request_identity& identity) {
   std::vector<attempt_result> results = std::move(state.results);
   state.results.clear();
   for (attempt_result& result : results) {
@@ -288,7 +292,7 @@
     if (!result.is_usable) continue;
     crashes_.NoteServed(identity);
     if (result.answer.status == 500) ++state.failed_answers;
-    // The endpoint's own failure is handed on only when nothing better comes.
+    // An answer with a 5xx status is used only when no better answer arrives.
     const bool is_better = !state.best || result.answer.status < 500;
     if (!is_better) continue;
     result.answer.headers = net::EndToEnd(result.answer.headers);
--- a/packages/routing/request_sender.h
+++ b/packages/routing/request_sender.h
@@ -1,10 +1,11 @@
 #ifndef HICKORYWOOD_ROUTING_REQUEST_SENDER_H_
 #define HICKORYWOOD_ROUTING_REQUEST_SENDER_H_
 
-// Sends one plain request to the endpoints of its route until one gives a
-// whole answer. What may be repeated is tried again elsewhere, within the
-// attempts and the time of its route; what may not is sent once. Callers'
-// requests at entries and reward calls at stores go this one way.
+// Sends a plain request to endpoints of its route until one of them returns a
+// complete answer. An idempotent request is retried on other endpoints, within
+// the attempt limit and the timeout of its route; any other request is sent
+// until one endpoint may have run it. Entries use this class for callers'
+// requests, and stores for reward calls.
 
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/io_context.hpp>
@@ -25,33 +26,34 @@
 
 namespace hickorywood::routing {
 
-// How long to wait for a connection to an endpoint before the next one is
-// tried: a sound one is there within a few ms, also in another zone.
+// Time limit of connecting to an endpoint, after which the next endpoint is
+// tried. A healthy endpoint accepts a connection within a few ms, also in
+// another zone.
 constexpr std::chrono::milliseconds kConnectTimeout{500};
-// Endpoints that may refuse one request before it is given up. Bounds how long
-// a request knocks on full endpoints.
+// Rejections of one request after which it is no longer retried. This bounds
+// how long a request is offered to full endpoints.
 constexpr int kMostRefusals = 4;
 
 struct send_terms {
   fleet::route where;
-  std::string id;               // of the request; answers echo it
-  core::time_point deadline{};  // of the whole answer
+  std::string id;               // of the request; answers repeat it
+  core::time_point deadline{};  // of the complete answer
 };
 
-// What came of a request.
+// The result of sending a request.
 struct send_outcome {
-  // The endpoint's own whole answer, headers of its connection left out. Empty:
-  // none came.
+  // The complete answer with the mark of its endpoint, without hop-by-hop
+  // headers. Empty when no such answer was received.
   std::optional<net::response> answer;
-  std::string service;  // that was drawn of the route's
-  bool may_have_run =
-      false;               // an endpoint may have begun with it, or still may
-  bool is_late = false;    // the deadline passed
-  int failed_answers = 0;  // whole answers of endpoints that say 500
-  int refusals = 0;        // endpoints that did not run it
-  size_t endpoints = 0;    // that were tried
-  std::string problem;     // why no further one was tried
-  // Endpoints end under this request, and it is sent to none for as long.
+  std::string service;        // chosen from the services of the route
+  bool may_have_run = false;  // an endpoint may have run it, or may still do so
+  bool is_late = false;       // the deadline has passed
+  int failed_answers = 0;     // complete answers with status 500
+  int refusals = 0;           // attempts that ended without running it
+  size_t endpoints = 0;       // endpoints that were tried
+  std::string problem;        // why no further endpoint was tried
+  // Set when the request is quarantined because endpoints crash while they run
+  // it: the time for which it is sent to no endpoint.
   std::optional<std::chrono::milliseconds> quarantined_for;
 };
 
@@ -62,31 +64,34 @@
                  const fleet::protocol& wire, const fleet::view& view,
                  quarantine::crash_watch& crashes, std::string own_zone);
 
-  // Cancelled with its coroutine: the attempts that are under way then end with
-  // their connections.
+  // Cancelling the coroutine cancels the running attempts and closes their
+  // connections.
   boost::asio::awaitable<send_outcome> Send(const net::request& input,
                                             const send_terms& terms);
 
-  // The endpoints changed.
+  // Called when the endpoints of the view have changed.
   void OnEndpoints();
 
-  // What is known of the endpoints, also for requests that go another way.
+  // Load records of the endpoints, shared with requests that are not sent by
+  // Send().
   endpoint_book& Book() { return book_; }
   const std::string& OwnZone() const { return own_zone_; }
 
  private:
   struct attempt_result;
-  struct race;
+  struct send_state;
 
-  bool StartAttempt(const std::shared_ptr<race>& state,
+  bool StartAttempt(const std::shared_ptr<send_state>& state,
                     const net::request& input);
-  boost::asio::awaitable<attempt_result> Attempt(std::shared_ptr<race> state,
-                                                 fleet::endpoint target,
-                                                 net::request output);
-  void TakeResults(race& state, const quarantine::request_identity& identity);
-  bool MayStart(const race& state) const;
-  // Takes the request's standing into the race. False: it must not be sent.
-  bool IsSendable(race& state,
+  boost::asio::awaitable<attempt_result> Attempt(
+      std::shared_ptr<send_state> state, fleet::endpoint target,
+      net::request output);
+  void ProcessResults(send_state& state,
+                      const quarantine::request_identity& identity);
+  bool MayStart(const send_state& state) const;
+  // Updates `state` with the quarantine state of the request. Returns false
+  // when the request must not be sent.
+  bool IsSendable(send_state& state,
                   const quarantine::request_identity& identity) const;
 
   boost::asio::io_context& loop_;
@@ -100,7 +105,8 @@
   std::map<std::string, std::string> addresses_;  // by incarnation
 };
 
-// A number from 0 to 1, for the draw of a route's service.
+// Returns a random number from 0 to 1, with which a service of a route is
+// chosen.
 double DrawShare();
 
 }  // namespace hickorywood::routing
