--- a/packages/entry/entry_instance.cc
+++ b/packages/entry/entry_instance.cc
@@ -24,7 +24,7 @@
 using core::LogEvent;
 using core::milliseconds;
 
-// An entry without a configuration knows no routes. It has one within an
+// An entry without a configuration has no routes. It receives one after an
 // election of the control group, which takes 450 to 900 ms after a restart of
 // all instances.
 constexpr milliseconds kRetryAfter{600};
@@ -58,8 +58,9 @@
         gateway(runtime, protocol, stores_caller),
         callers(io, CallerOptions(),
                 [this](net::exchange& call) { return Serve(call); }),
-        readiness(io, ReadinessOptions(),
-                  [this](net::exchange& call) { return Check(call); }) {
+        readiness(io, ReadinessOptions(), [this](net::exchange& call) {
+          return AnswerReadiness(call);
+        }) {
     follower.OnChange([this] {
       plain.OnEndpoints();
       crashes.OnView();
@@ -81,7 +82,8 @@
     return options;
   }
 
-  // The configured limits, and the listener's own where none are configured.
+  // The configured limits. A limit that is not configured has the default of
+  // the listener.
   net::caller_limits Limits() const {
     const fleet::request_limits& configured = follower.View().config.limits;
     net::caller_limits limits;
@@ -100,7 +102,7 @@
     return limits;
   }
 
-  awaitable<void> Check(net::exchange& call) {
+  awaitable<void> AnswerReadiness(net::exchange& call) {
     net::response answer;
     const bool is_ready = !is_stopping && follower.View().config.version > 0;
     answer.status = is_ready ? 200 : 503;
@@ -149,8 +151,8 @@
               {"connections", std::to_string(callers.Connections())},
               {"in_flight", std::to_string(callers.InFlight())}});
     const core::time_point limit = clock.Now() + settings.drain_grace * 7 / 8;
-    // Callers learn by the answers that they should go elsewhere, new ones by
-    // the readiness check.
+    // Connected callers see "Connection: close" in the answers and connect to
+    // another entry; new connections follow the readiness check.
     callers.BeginDrain();
     co_await net::Sleep(settings.drain_notice);
     callers.StopAccepting();
--- a/packages/entry/entry_instance.h
+++ b/packages/entry/entry_instance.h
@@ -1,8 +1,8 @@
 #ifndef HICKORYWOOD_ENTRY_ENTRY_INSTANCE_H_
 #define HICKORYWOOD_ENTRY_ENTRY_INSTANCE_H_
 
-// An entry: callers' connections, readiness, plain requests, and the hand-over
-// of trainers' calls.
+// An entry instance: it accepts callers' connections, reports readiness, serves
+// plain requests, and forwards trainers' calls to the stores.
 
 #include <boost/asio/io_context.hpp>
 #include <memory>
@@ -23,11 +23,11 @@
   entry_instance(const entry_instance&) = delete;
   entry_instance& operator=(const entry_instance&) = delete;
 
-  // False with the reason when a listener can't be opened.
+  // Returns false and sets the last reason when a listener can't be opened.
   bool Start();
-  // New settings: only the seeds can change in a running process.
+  // Applies new settings. Only the seeds can change in a running process.
   void Reload(const settings::node_settings& settings);
-  // Reports not ready, finishes what is in flight, and stops the loop.
+  // Reports not ready, waits for the requests in flight, and stops the loop.
   void BeginStop();
 
   struct impl;
