--- a/packages/entry/step_gateway.cc
+++ b/packages/entry/step_gateway.cc
@@ -17,18 +17,20 @@
 using peering::call_outcome;
 using peering::envelope;
 
-// How long a submission may wait for a leader: an election and one repeat.
-constexpr milliseconds kOpenPatience{3000};
-constexpr milliseconds kOpenTry{1200};
-constexpr milliseconds kEndPatience{1800};
-constexpr milliseconds kEndTry{800};
-// A read is held back for as long as its caller allows; after that there is
-// time for one more leader, and then the caller asks again.
-constexpr milliseconds kReadSlack{900};
-constexpr milliseconds kReadTrySlack{500};
+// Time limits of a submission and of one attempt. The total covers an election
+// of the leader and one retry.
+constexpr milliseconds kOpenTimeout{3000};
+constexpr milliseconds kOpenAttemptTimeout{1200};
+constexpr milliseconds kEndTimeout{1800};
+constexpr milliseconds kEndAttemptTimeout{800};
+// The leader delays its answer to a read until results arrive, for at most the
+// wait that the caller allows. The additional time allows one more attempt,
+// with another leader; after that the caller polls again.
+constexpr milliseconds kReadTimeoutSlack{900};
+constexpr milliseconds kReadAttemptSlack{500};
 constexpr milliseconds kLongestWait{5000};
 constexpr milliseconds kRetryAfter{300};
-constexpr uint64_t kPageBytes = 900 * 1000;
+constexpr uint64_t kMaxPageBytes = 900 * 1000;
 
 }  // namespace
 
@@ -51,18 +53,18 @@
   const core::time_point started = clock_.Now();
   const envelope answer = co_await caller_.Ask(
       peering::kOpenStepMethod, core::EncodeBinary(*submission),
-      started + kOpenPatience, kOpenTry);
-  const bool is_taken = answer.outcome == call_outcome::kDone;
+      started + kOpenTimeout, kOpenAttemptTimeout);
+  const bool is_accepted = answer.outcome == call_outcome::kDone;
   const auto took =
       std::chrono::duration_cast<milliseconds>(clock_.Now() - started);
-  LogEvent(is_taken ? event_id::kStepOpened : event_id::kRequestRefused,
+  LogEvent(is_accepted ? event_id::kStepOpened : event_id::kRequestRefused,
            {{"step", submission->id},
             {"tasks", std::to_string(submission->tasks.size())},
             {"number", std::to_string(submission->number)},
             {"reason", answer.reason},
             {"ms", std::to_string(took.count())}});
   net::response reply = FailureOf(answer);
-  if (is_taken) {
+  if (is_accepted) {
     reply = wire_.EncodeAcknowledgement("");
     reply.status = 202;
   }
@@ -90,11 +92,12 @@
   request.step = std::move(input.step);
   request.after = input.after;
   request.wait_ms = wait.count();
-  request.page_bytes = kPageBytes;
+  request.page_bytes = kMaxPageBytes;
   envelope answer = co_await caller_.Ask(
       peering::kReadResultsMethod, core::EncodeBinary(request),
-      clock_.Now() + wait + kReadSlack, wait + kReadTrySlack);
-  // A read that was not answered has changed nothing.
+      clock_.Now() + wait + kReadTimeoutSlack, wait + kReadAttemptSlack);
+  // A read changes no state, so its caller may retry it when the outcome is
+  // unknown.
   if (answer.outcome == call_outcome::kUnknown) {
     answer.outcome = call_outcome::kUnavailable;
   }
@@ -110,7 +113,7 @@
   const peering::read_task_request request{input.step, input.task};
   envelope answer = co_await caller_.Ask(
       peering::kReadTaskMethod, core::EncodeBinary(request),
-      clock_.Now() + kReadSlack, kReadTrySlack);
+      clock_.Now() + kReadTimeoutSlack, kReadAttemptSlack);
   if (answer.outcome == call_outcome::kUnknown) {
     answer.outcome = call_outcome::kUnavailable;
   }
@@ -130,7 +133,7 @@
   const peering::named_item request{input.step};
   const envelope answer =
       co_await caller_.Ask(peering::kEndStepMethod, core::EncodeBinary(request),
-                           clock_.Now() + kEndPatience, kEndTry);
+                           clock_.Now() + kEndTimeout, kEndAttemptTimeout);
   if (answer.outcome != call_outcome::kDone) co_return FailureOf(answer);
   co_return wire_.EncodeAcknowledgement("");
 }
--- a/packages/entry/step_gateway.h
+++ b/packages/entry/step_gateway.h
@@ -1,7 +1,7 @@
 #ifndef HICKORYWOOD_ENTRY_STEP_GATEWAY_H_
 #define HICKORYWOOD_ENTRY_STEP_GATEWAY_H_
 
-// Hands trainers' calls about steps to the control leader, which keeps them.
+// Forwards trainers' calls about steps to the leader that stores the steps.
 
 #include <boost/asio/awaitable.hpp>
 #include <string>
@@ -19,7 +19,7 @@
                peering::leader_caller& caller);
 
   boost::asio::awaitable<void> Open(net::exchange& call);
-  // `input` is no other_call.
+  // `input` must not be an other_call.
   boost::asio::awaitable<void> Serve(net::exchange& call,
                                      fleet::step_call input);
 
