--- a/packages/entry/relay.cc
+++ b/packages/entry/relay.cc
@@ -20,11 +20,11 @@
 using core::milliseconds;
 using core::time_point;
 
-// When all endpoints are full a place is free after about one request.
+// When all endpoints are full, a slot is free after about one request duration.
 constexpr milliseconds kRetryAfter{100};
 
-// What a caller hears whose request takes endpoints down: not run, and not now.
-// 503 would say that the service is at fault and invite the next try.
+// Status for a quarantined request: it was not run and must not be retried now.
+// 503 would attribute the failure to the service and cause immediate retries.
 constexpr int kTooManyRequests = 429;
 
 milliseconds Since(time_point start, time_point now) {
@@ -49,8 +49,8 @@
 time_point relay::DeadlineOf(const net::request& input,
                              const fleet::route& where) const {
   milliseconds left(where.timeout_ms);
-  const auto asked = wire_.TimeLeft(input);
-  if (asked) left = std::min(left, *asked);
+  const auto requested = wire_.TimeLeft(input);
+  if (requested) left = std::min(left, *requested);
   return clock_.Now() + left;
 }
 
@@ -71,8 +71,8 @@
   terms.id = wire_.RequestId(input);
   terms.deadline = DeadlineOf(input, where);
   routing::send_outcome outcome = co_await sender_.Send(input, terms);
-  net::response answer =
-      outcome.answer ? std::move(*outcome.answer) : GiveUp(outcome);
+  net::response answer = outcome.answer ? std::move(*outcome.answer)
+                                        : MakeFailureResponse(outcome);
   LogEvent(event_id::kRequestAnswered,
            {{"request", terms.id},
             {"route", where.name},
@@ -85,26 +85,27 @@
   co_return answer;
 }
 
-// The answer when no endpoint gave one. "Not run" is said only when that is
-// certain.
-net::response relay::GiveUp(const routing::send_outcome& outcome) const {
+// Encodes the failure when no endpoint returned a usable answer. The failure
+// states that the request was not run only when that is certain.
+net::response relay::MakeFailureResponse(
+    const routing::send_outcome& outcome) const {
   if (!outcome.may_have_run && outcome.quarantined_for) {
     return wire_.EncodeFailure(kTooManyRequests, outcome.problem,
                                outcome.quarantined_for);
   }
   if (!outcome.may_have_run) {
     const std::string reason = outcome.problem.empty()
-                                   ? "no endpoint could take the request"
+                                   ? "no endpoint could accept the request"
                                    : outcome.problem;
     return wire_.EncodeFailure(503, reason, kRetryAfter);
   }
   return wire_.EncodeFailure(outcome.is_late ? 504 : 502,
-                             "no whole answer came from an endpoint",
+                             "no complete answer was received from an endpoint",
                              std::nullopt);
 }
 
-// A request at an endpoint. Where its frame unwinds before it is settled, its
-// caller has left.
+// A request that was sent to an endpoint. When the coroutine frame is destroyed
+// before the request is settled, its caller has disconnected.
 class relay::open_request {
  public:
   open_request(quarantine::crash_watch& crashes,
@@ -129,20 +130,20 @@
   bool is_settled_ = false;
 };
 
-// Whether an answer broke off by our own doing: the caller left, or the time is
-// up.
-bool relay::IsGivenUp(const asio::cancellation_state& state,
-                      time_point deadline) const {
+// Returns whether this process ended the answer early, because the caller
+// disconnected or the deadline has passed.
+bool relay::IsEndedLocally(const asio::cancellation_state& state,
+                           time_point deadline) const {
   return clock_.Now() >= deadline ||
          state.cancelled() != asio::cancellation_type::none;
 }
 
-// How far a stream's request got at an endpoint.
+// Result of starting a stream at an endpoint.
 struct relay::stream_start {
   enum class outcome {
     kNotSent,
-    kNotRun,    // the endpoint says so
-    kNoAnswer,  // none that is the request's own and bears the endpoint's mark
+    kNotRun,    // the endpoint reports that it did not run it
+    kNoAnswer,  // no answer to this request with the endpoint's mark
     kAnswered,  // `head` was read from `from`
   };
   outcome how = outcome::kNoAnswer;
@@ -153,35 +154,35 @@
 awaitable<relay::stream_start> relay::StartStream(const net::request& input,
                                                   const fleet::endpoint& target,
                                                   time_point deadline) {
-  stream_start begun;
+  stream_start stream;
   net::acquire_terms connection;
-  // A reused connection can turn out dead after the request was written.
+  // A reused connection can turn out to be dead after the request was written.
   connection.needs_fresh = true;
   connection.request_id = wire_.RequestId(input);
-  begun.from = co_await pool_.Acquire(target.address,
-                                      clock_.Now() + routing::kConnectTimeout,
-                                      std::move(connection));
-  if (!begun.from) {
-    begun.how = stream_start::outcome::kNotSent;
-    co_return begun;
+  stream.from = co_await pool_.Acquire(target.address,
+                                       clock_.Now() + routing::kConnectTimeout,
+                                       std::move(connection));
+  if (!stream.from) {
+    stream.how = stream_start::outcome::kNotSent;
+    co_return stream;
   }
   fleet::dispatch_terms terms;
   terms.time_left = Since(clock_.Now(), deadline);
   terms.endpoint = target.name;
   const net::request output = wire_.EncodeDispatch(input, terms);
-  const bool is_written = co_await begun.from->Write(output, deadline);
-  if (!is_written) co_return begun;
+  const bool is_written = co_await stream.from->Write(output, deadline);
+  if (!is_written) co_return stream;
   const net::header id = wire_.RequestIdHeader(wire_.RequestId(input));
   const bool has_head =
-      co_await net::ReadOwnHead(*begun.from, id, deadline, begun.head);
-  if (!has_head) co_return begun;
-  const fleet::answer_marks marks = wire_.DecodeMarks(begun.head);
+      co_await net::ReadOwnHead(*stream.from, id, deadline, stream.head);
+  if (!has_head) co_return stream;
+  const fleet::answer_marks marks = wire_.DecodeMarks(stream.head);
   if (marks.is_not_run) {
-    begun.how = stream_start::outcome::kNotRun;
+    stream.how = stream_start::outcome::kNotRun;
   } else if (marks.IsSigned()) {
-    begun.how = stream_start::outcome::kAnswered;
+    stream.how = stream_start::outcome::kAnswered;
   }
-  co_return begun;
+  co_return stream;
 }
 
 awaitable<void> relay::ServeStream(net::exchange& call,
@@ -194,7 +195,7 @@
   const quarantine::request_identity identity = quarantine::IdentityOf(input);
   const quarantine::verdict found = crashes_.Check(identity);
   if (found.standing == quarantine::request_standing::kQuarantined) {
-    const std::string reason = "endpoints end under this request";
+    const std::string reason = "endpoints crash while running this request";
     LogEvent(event_id::kRequestRefused, {{"request", wire_.RequestId(input)},
                                          {"digest", found.digest},
                                          {"reason", reason}});
@@ -210,48 +211,48 @@
     const fleet::endpoint target = *found;
     tried.insert(target.incarnation);
     open_request open(crashes_, identity, target);
-    stream_start begun = co_await StartStream(input, target, deadline);
-    if (begun.how == stream_start::outcome::kNotSent) {
+    stream_start stream = co_await StartStream(input, target, deadline);
+    if (stream.how == stream_start::outcome::kNotSent) {
       routing::NoteFailure(book, target.incarnation, clock_.Now());
       open.Settle();
       continue;
     }
-    if (begun.how == stream_start::outcome::kNotRun) {
+    if (stream.how == stream_start::outcome::kNotRun) {
       routing::NoteFull(book, target.incarnation, clock_.Now());
       open.Settle();
       continue;
     }
-    if (begun.how == stream_start::outcome::kNoAnswer) {
+    if (stream.how == stream_start::outcome::kNoAnswer) {
       routing::NoteFailure(book, target.incarnation, clock_.Now());
       const auto cancellation = co_await asio::this_coro::cancellation_state;
-      if (!IsGivenUp(cancellation, deadline)) open.SettleBroken();
+      if (!IsEndedLocally(cancellation, deadline)) open.SettleBroken();
       co_await call.Reply(
-          wire_.EncodeFailure(502, "the endpoint gave no answer", {}));
+          wire_.EncodeFailure(502, "the endpoint sent no valid answer", {}));
       co_return;
     }
-    begun.head.headers = net::EndToEnd(begun.head.headers);
-    co_await call.BeginStream(std::move(begun.head));
+    stream.head.headers = net::EndToEnd(stream.head.headers);
+    co_await call.BeginStream(std::move(stream.head));
     net::body_state state = net::body_state::kMore;
     while (state == net::body_state::kMore) {
       std::string piece;
-      state = co_await begun.from->ReadSome(piece, deadline);
+      state = co_await stream.from->ReadSome(piece, deadline);
       co_await call.WriteStream(std::move(piece));
     }
     const auto cancellation = co_await asio::this_coro::cancellation_state;
     if (state == net::body_state::kBroken &&
-        !IsGivenUp(cancellation, deadline)) {
+        !IsEndedLocally(cancellation, deadline)) {
       open.SettleBroken();
     }
     if (state == net::body_state::kEnd) {
       open.Settle();
       crashes_.NoteServed(identity);
       co_await call.EndStream();
-      pool_.Release(std::move(begun.from));
+      pool_.Release(std::move(stream.from));
     }
     co_return;
   }
   co_await call.Reply(wire_.EncodeFailure(
-      503, "no endpoint could take the request", kRetryAfter));
+      503, "no endpoint could accept the request", kRetryAfter));
 }
 
 }  // namespace hickorywood::entry
--- a/packages/entry/relay.h
+++ b/packages/entry/relay.h
@@ -1,7 +1,7 @@
 #ifndef HICKORYWOOD_ENTRY_RELAY_H_
 #define HICKORYWOOD_ENTRY_RELAY_H_
 
-// Carries one plain request to an endpoint and its answer back.
+// Forwards a plain request to an endpoint and returns its answer to the caller.
 
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/cancellation_state.hpp>
@@ -26,19 +26,20 @@
         const fleet::view& view, quarantine::crash_watch& crashes,
         std::string own_zone);
 
-  // Answers the exchange. Cancelled when the caller is gone: the attempts that
-  // are under way then end with their connections.
+  // Answers the exchange. The coroutine is cancelled when the caller
+  // disconnects, which also cancels the running attempts and closes their
+  // connections.
   boost::asio::awaitable<void> Serve(net::exchange& call, fleet::route where);
 
-  // The endpoints changed.
+  // Called when the endpoints of the view have changed.
   void OnEndpoints();
 
  private:
   boost::asio::awaitable<net::response> Answer(const net::request& input,
                                                const fleet::route& where);
-  net::response GiveUp(const routing::send_outcome& outcome) const;
-  bool IsGivenUp(const boost::asio::cancellation_state& state,
-                 core::time_point deadline) const;
+  net::response MakeFailureResponse(const routing::send_outcome& outcome) const;
+  bool IsEndedLocally(const boost::asio::cancellation_state& state,
+                      core::time_point deadline) const;
   class open_request;
   struct stream_start;
   boost::asio::awaitable<stream_start> StartStream(
