--- a/packages/entry/relay.cc
+++ b/packages/entry/relay.cc
@@ -104,8 +104,8 @@
                              std::nullopt);
 }
 
-// A request that was sent to an endpoint. When the coroutine frame is destroyed
-// before the request is settled, its caller has disconnected.
+// A request at an endpoint. Unless it was settled, the destructor records it as
+// abandoned: its caller has disconnected, or its deadline has passed.
 class relay::open_request {
  public:
   open_request(quarantine::crash_watch& crashes,
@@ -142,7 +142,7 @@
 struct relay::stream_start {
   enum class outcome {
     kNotSent,
-    kNotRun,    // the endpoint reports that it did not run it
+    kNotRun,    // the endpoint reports that it did not run the request
     kNoAnswer,  // no answer to this request with the endpoint's mark
     kAnswered,  // `head` was read from `from`
   };
