--- a/packages/net/call.cc
+++ b/packages/net/call.cc
@@ -13,11 +13,11 @@
 using boost::asio::awaitable;
 using core::time_point;
 
-// A second answer beyond this is not worth reading to its end.
-constexpr size_t kMostForeignBytes = 1024 * 1024;
+// Size above which a mismatched answer is not read to its end.
+constexpr size_t kMaxSkippedBytes = 1024 * 1024;
 
-void LogForeign(const connection& from, const header& id,
-                const response& head) {
+void LogMismatchedAnswer(const connection& from, const header& id,
+                         const response& head) {
   core::LogEvent(core::event_id::kForeignAnswer,
                  {{"request", id.value},
                   {"found", std::string(Find(head.headers, id.name))},
@@ -26,18 +26,18 @@
                   {"reused", from.IsReused() ? "true" : "false"}});
 }
 
-// Reads a body to its end and forgets it.
-awaitable<bool> PassOver(connection& from, time_point deadline) {
+// Reads a body to its end and discards it.
+awaitable<bool> SkipBody(connection& from, time_point deadline) {
   std::string body;
   body_state state = body_state::kMore;
-  while (state == body_state::kMore && body.size() <= kMostForeignBytes) {
+  while (state == body_state::kMore && body.size() <= kMaxSkippedBytes) {
     state = co_await from.ReadSome(body, deadline);
   }
   co_return state == body_state::kEnd;
 }
 
-awaitable<bool> ReadWhole(connection& from, const call_options& options,
-                          response& answer) {
+awaitable<bool> ReadAnswer(connection& from, const call_options& options,
+                           response& answer) {
   const bool has_head =
       co_await ReadOwnHead(from, options.expected, options.deadline, answer);
   if (!has_head) co_return false;
@@ -59,16 +59,16 @@
     if (!has_head) co_return false;
     const std::string_view found = Find(head.headers, id.name);
     if (!found.empty() && found == id.value) {
-      from.MarkNamed();
+      from.MarkIdentified();
       co_return true;
     }
     if (found.empty() && is_first) co_return true;
-    LogForeign(from, id, head);
-    // Behind an answer whose end can't be told, the next one can't be found.
+    LogMismatchedAnswer(from, id, head);
+    // After an answer without a known end, the next answer can't be located.
     const bool may_follow = !found.empty() && from.IsFramed();
-    const bool is_passed = may_follow && co_await PassOver(from, deadline);
-    if (!is_passed) {
-      from.SetError("an answer that may belong to another request");
+    const bool is_skipped = may_follow && co_await SkipBody(from, deadline);
+    if (!is_skipped) {
+      from.SetError("received an answer that may belong to another request");
       co_return false;
     }
     is_first = false;
@@ -90,7 +90,7 @@
   result.how = progress::kMaybeSent;
   bool is_whole = co_await open->Write(input, options.deadline);
   if (is_whole) {
-    is_whole = co_await ReadWhole(*open, options, result.answer);
+    is_whole = co_await ReadAnswer(*open, options, result.answer);
   }
   if (!is_whole) {
     result.answer = response{.status = 0};
--- a/packages/net/call.h
+++ b/packages/net/call.h
@@ -1,10 +1,10 @@
 #ifndef HICKORYWOOD_NET_CALL_H_
 #define HICKORYWOOD_NET_CALL_H_
 
-// One request and its own whole answer. Servers may answer a request twice, the
-// second time late, over a connection that carries another request by then. So
-// an answer is taken only with evidence that it is the request's own: it names
-// the request, or it is the first one on its connection.
+// Sends one request and reads the complete answer to it. Servers may answer a
+// request twice, and the second answer can arrive when the connection already
+// carries another request. An answer is therefore accepted only when it
+// contains the id of the request, or is the first answer on its connection.
 
 #include <boost/asio/awaitable.hpp>
 #include <cstddef>
@@ -17,39 +17,39 @@
 namespace hickorywood::net {
 
 // Reads the head of the answer to the request that was written last. Answers
-// that name other requests are passed over. False: none came that is the
-// request's own for certain, and the connection is of no use any more.
-// `id`: the header that names the request, with its value.
+// with the id of another request are skipped. Returns false when no answer
+// certainly belongs to the request; the connection must not be used again then.
+// `id` is the header that contains the request id, with its value.
 boost::asio::awaitable<bool> ReadOwnHead(connection& from, const header& id,
                                          core::time_point deadline,
                                          response& head);
 
 // How far a request got.
 enum class progress {
-  kNotSent,    // no byte of it left this process
-  kMaybeSent,  // it may have arrived; there is no whole answer
-  kAnswered,   // a whole answer was received
+  kNotSent,    // no byte was sent
+  kMaybeSent,  // it may have arrived; no complete answer
+  kAnswered,   // a complete answer was received
 };
 
 struct call_options {
   core::time_point connect_deadline{};
-  core::time_point deadline{};  // of the whole answer
+  core::time_point deadline{};  // of the complete answer
   bool needs_fresh = false;
   size_t body_limit = 64 * 1024 * 1024;
-  // The header by which the request and its answer name the request. Empty
-  // value: it has no name, and goes over a connection of its own.
+  // The header that contains the request id in the request and in its answer. A
+  // request with an empty value has no id and uses a new connection.
   header expected;
 };
 
 struct call_result {
   progress how = progress::kNotSent;
-  response answer{.status = 0};  // status 0: no whole answer came
+  response answer{.status = 0};  // status 0: no complete answer
   std::string error;
   bool is_timeout = false;
 };
 
-// One request with its whole answer. Sent once, whatever happens: repeating is
-// the caller's decision.
+// Sends a request and reads its complete answer. The request is sent only once;
+// retries are the decision of the caller.
 boost::asio::awaitable<call_result> Call(connection_pool& pool,
                                          const std::string& address,
                                          const request& input,
--- a/packages/net/connection_pool.cc
+++ b/packages/net/connection_pool.cc
@@ -35,7 +35,7 @@
 constexpr auto kNoThrow = asio::as_tuple(asio::use_awaitable);
 constexpr unsigned kHttp11 = 11;
 constexpr unsigned kSwitchingProtocols = 101;
-constexpr uint32_t kAnswerHeaderBytes = 64 * 1024;
+constexpr uint32_t kMaxAnswerHeaderBytes = 64 * 1024;
 
 class pooled_connection : public connection {
  public:
@@ -56,14 +56,14 @@
   bool IsRefused() const { return is_refused_; }
   const std::string& Error() const override { return error_; }
   void SetError(std::string why) override { error_ = std::move(why); }
-  void MarkNamed() override { is_named_ = true; }
+  void MarkIdentified() override { is_identified_ = true; }
   bool IsFramed() const override { return !parser_->need_eof(); }
 
   bool HasCarried(const std::string& request_id) const {
     const uint64_t hash = core::Hash64(request_id);
     return std::find(carried_.begin(), carried_.end(), hash) != carried_.end();
   }
-  void NoteCarried(const std::string& request_id) {
+  void RecordCarried(const std::string& request_id) {
     carried_.push_back(core::Hash64(request_id));
   }
   size_t Carried() const { return carried_.size(); }
@@ -89,11 +89,11 @@
   }
 
   awaitable<bool> ReadHead(response& head, time_point deadline) override {
-    is_named_ = false;
+    is_identified_ = false;
     stream_.expires_at(deadline);
     do {
       parser_.emplace();
-      parser_->header_limit(kAnswerHeaderBytes);
+      parser_->header_limit(kMaxAnswerHeaderBytes);
       parser_->body_limit(boost::none);
       const auto [failure, count] = co_await http::async_read_header(
           stream_, buffer_, *parser_, kNoThrow);
@@ -111,7 +111,7 @@
 
   awaitable<body_state> ReadSome(std::string& piece,
                                  time_point deadline) override {
-    if (parser_->is_done()) co_return Take(piece);
+    if (parser_->is_done()) co_return MoveBody(piece);
     SetDeadline(deadline);
     const auto [failure, count] =
         co_await http::async_read_some(stream_, buffer_, *parser_, kNoThrow);
@@ -119,21 +119,22 @@
       Fail(failure);
       co_return body_state::kBroken;
     }
-    co_return Take(piece);
+    co_return MoveBody(piece);
   }
 
-  // Whether another request may go over it.
+  // Whether the connection can carry another request.
   bool IsReusable() {
-    if (!is_named_ || !parser_ || !parser_->is_done() ||
+    if (!is_identified_ || !parser_ || !parser_->is_done() ||
         !parser_->get().keep_alive()) {
       return false;
     }
-    // Bytes after a whole answer belong to no request.
-    return buffer_.size() == 0 && IsQuiet();
+    // Bytes after a complete answer belong to no request.
+    return buffer_.size() == 0 && IsOpenWithoutData();
   }
 
-  // False when the other side has closed it or has sent anything.
-  bool IsQuiet() {
+  // Returns false when the peer has closed the connection or has sent bytes
+  // that were not read.
+  bool IsOpenWithoutData() {
     char byte = 0;
     const ssize_t count = recv(stream_.socket().native_handle(), &byte, 1,
                                MSG_PEEK | MSG_DONTWAIT);
@@ -143,12 +144,12 @@
   void MarkReused() { is_reused_ = true; }
 
  private:
-  // The answer itself comes behind it (RFC 9110, section 15.2).
+  // An interim response is followed by the final one (RFC 9110, section 15.2).
   static bool IsInterim(unsigned status) {
     return status / 100 == 1 && status != kSwitchingProtocols;
   }
 
-  // No deadline needs no timer, and a stream has many reads.
+  // A read without a deadline starts no timer, because a stream has many reads.
   void SetDeadline(time_point deadline) {
     if (deadline == time_point::max()) {
       stream_.expires_never();
@@ -157,7 +158,7 @@
     }
   }
 
-  body_state Take(std::string& piece) {
+  body_state MoveBody(std::string& piece) {
     std::string& body = parser_->get().body();
     piece += body;
     body.clear();
@@ -174,8 +175,8 @@
   beast::flat_buffer buffer_;
   std::optional<http::response_parser<http::string_body>> parser_;
   std::string error_;
-  std::vector<uint64_t> carried_;  // hashes of the ids of its requests
-  bool is_named_ = false;
+  std::vector<uint64_t> carried_;  // hashes of the request ids
+  bool is_identified_ = false;
   bool is_reused_ = false;
   bool is_refused_ = false;
 };
@@ -191,26 +192,26 @@
   impl(asio::io_context& io, pool_options settings)
       : loop(io), options(settings) {}
 
-  // The idle connection that was used last and may carry the request. Those
-  // that are of no use any more are closed.
-  std::unique_ptr<pooled_connection> TakeIdle(const std::string& address,
-                                              const std::string& request_id) {
+  // Returns the most recently used idle connection that may carry the request.
+  // Connections that were examined and are no longer usable are closed.
+  std::unique_ptr<pooled_connection> AcquireIdle(
+      const std::string& address, const std::string& request_id) {
     const auto found = idle.find(address);
     if (found == idle.end()) return nullptr;
     std::deque<idle_connection>& waiting = found->second;
     const time_point now = std::chrono::steady_clock::now();
-    std::unique_ptr<pooled_connection> taken;
-    for (size_t i = waiting.size(); i > 0 && !taken; --i) {
+    std::unique_ptr<pooled_connection> selected;
+    for (size_t i = waiting.size(); i > 0 && !selected; --i) {
       const auto candidate =
           waiting.begin() + static_cast<std::ptrdiff_t>(i - 1);
       const bool is_usable = now - candidate->since < options.idle_limit &&
-                             candidate->item->IsQuiet();
+                             candidate->item->IsOpenWithoutData();
       if (is_usable && candidate->item->HasCarried(request_id)) continue;
-      if (is_usable) taken = std::move(candidate->item);
+      if (is_usable) selected = std::move(candidate->item);
       waiting.erase(candidate);
     }
     if (waiting.empty()) idle.erase(found);
-    return taken;
+    return selected;
   }
 
   asio::io_context& loop;
@@ -226,24 +227,24 @@
 awaitable<std::unique_ptr<connection>> connection_pool::Acquire(
     std::string address, time_point deadline, acquire_terms terms) {
   const std::shared_ptr<impl> state = impl_;
-  std::unique_ptr<pooled_connection> made;
+  std::unique_ptr<pooled_connection> acquired;
   const bool needs_fresh = terms.needs_fresh || terms.request_id.empty();
-  if (!needs_fresh) made = state->TakeIdle(address, terms.request_id);
-  if (made) {
-    made->MarkReused();
-    made->NoteCarried(terms.request_id);
-    co_return made;
+  if (!needs_fresh) acquired = state->AcquireIdle(address, terms.request_id);
+  if (acquired) {
+    acquired->MarkReused();
+    acquired->RecordCarried(terms.request_id);
+    co_return acquired;
   }
   const auto where = ParseAddress(address);
   if (!where) co_return nullptr;
-  made = std::make_unique<pooled_connection>(state->loop, address);
-  const bool is_open = co_await made->Connect(*where, deadline);
+  acquired = std::make_unique<pooled_connection>(state->loop, address);
+  const bool is_open = co_await acquired->Connect(*where, deadline);
   if (!is_open) {
-    core::SetLastReason(core::reason_code::kUnavailable, made->Error());
+    core::SetLastReason(core::reason_code::kUnavailable, acquired->Error());
     co_return nullptr;
   }
-  made->NoteCarried(terms.request_id);
-  co_return made;
+  acquired->RecordCarried(terms.request_id);
+  co_return acquired;
 }
 
 awaitable<connect_outcome> connection_pool::Probe(const std::string& address,
@@ -251,19 +252,20 @@
   const std::shared_ptr<impl> state = impl_;
   const auto where = ParseAddress(address);
   if (!where) co_return connect_outcome::kNoAnswer;
-  pooled_connection made(state->loop, address);
-  const bool is_open = co_await made.Connect(*where, deadline);
+  pooled_connection probe(state->loop, address);
+  const bool is_open = co_await probe.Connect(*where, deadline);
   if (is_open) co_return connect_outcome::kConnected;
-  co_return made.IsRefused() ? connect_outcome::kRefused
-                             : connect_outcome::kNoAnswer;
+  co_return probe.IsRefused() ? connect_outcome::kRefused
+                              : connect_outcome::kNoAnswer;
 }
 
 void connection_pool::Release(std::unique_ptr<connection> used) {
   auto* const item = static_cast<pooled_connection*>(used.release());
   std::unique_ptr<pooled_connection> held(item);
-  const bool is_kept = item != nullptr && item->IsReusable() &&
-                       item->Carried() < impl_->options.requests_per_connection;
-  if (!is_kept) return;
+  const bool is_pooled =
+      item != nullptr && item->IsReusable() &&
+      item->Carried() < impl_->options.requests_per_connection;
+  if (!is_pooled) return;
   std::deque<idle_connection>& waiting = impl_->idle[item->Address()];
   if (waiting.size() >= impl_->options.idle_per_address) waiting.pop_front();
   waiting.push_back({std::move(held), std::chrono::steady_clock::now()});
--- a/packages/net/connection_pool.h
+++ b/packages/net/connection_pool.h
@@ -1,9 +1,9 @@
 #ifndef HICKORYWOOD_NET_CONNECTION_POOL_H_
 #define HICKORYWOOD_NET_CONNECTION_POOL_H_
 
-// Connections to endpoints and to the system's own instances, on one I/O loop.
-// A connection that is not given back is closed, which is how work under way at
-// the other side is cancelled.
+// Pools connections to endpoints and to the system's own instances, on one I/O
+// loop. A connection that is not released to the pool is closed, which cancels
+// the work that the peer is doing for it.
 
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/io_context.hpp>
@@ -19,62 +19,66 @@
 
 enum class body_state {
   kMore,
-  kEnd,     // the body is whole
-  kBroken,  // the connection ended, timed out or sent what is no HTTP
+  kEnd,     // the body is complete
+  kBroken,  // the connection ended, timed out or sent invalid HTTP
 };
 
 class connection {
  public:
   virtual ~connection() = default;
 
-  // Whether it has carried a request before: the other side may have closed it
-  // meanwhile without our knowing.
+  // Whether the connection has carried a request before. The peer may have
+  // closed such a connection without this process having noticed.
   virtual bool IsReused() const = 0;
-  // Writes a request. False when it failed: some of it may have arrived.
+  // Writes a request. Returns false on failure; part of the request may have
+  // arrived.
   virtual boost::asio::awaitable<bool> Write(const request& output,
                                              core::time_point deadline) = 0;
   // Reads the status line and the headers of the next answer.
   virtual boost::asio::awaitable<bool> ReadHead(response& head,
                                                 core::time_point deadline) = 0;
-  // Whether the answer whose head was read last names the length of its body,
-  // or ends it by a mark. Any other ends with its connection.
+  // Whether the answer whose head was read last specifies the length of its
+  // body or uses chunked encoding. The body of any other answer ends with its
+  // connection.
   virtual bool IsFramed() const = 0;
-  // Adds to `piece` what has arrived of the body. kBroken once `deadline` has
-  // passed without news; the end of time: it waits for ever.
+  // Appends the received part of the body to `piece`. Returns kBroken when no
+  // data arrives until `deadline`; with time_point::max() it waits without
+  // limit.
   virtual boost::asio::awaitable<body_state> ReadSome(
       std::string& piece, core::time_point deadline) = 0;
   // Why the last call failed.
   virtual const std::string& Error() const = 0;
   virtual void SetError(std::string why) = 0;
   virtual const std::string& Address() const = 0;
-  // The answer whose head was read last names the request that it belongs to.
-  // Without this a connection is not used again: a late second answer could not
-  // be told from the next one.
-  virtual void MarkNamed() = 0;
+  // Records that the answer whose head was read last contains the id of its
+  // request. Without this call the connection is not reused, because a late
+  // second answer could not be distinguished from the next answer.
+  virtual void MarkIdentified() = 0;
 };
 
-// What became of an attempt to connect.
+// Result of an attempt to connect.
 enum class connect_outcome {
   kConnected,
-  kRefused,   // the host answered that nothing listens there
-  kNoAnswer,  // unreachable, or no answer in time
+  kRefused,   // the host refused the connection
+  kNoAnswer,  // unreachable, or no answer until the deadline
 };
 
 struct pool_options {
-  // Kept unused for this long at most; below what endpoints commonly allow.
+  // Idle time after which a connection is not used again. It is below the idle
+  // timeouts that endpoints commonly have.
   std::chrono::milliseconds idle_limit{4000};
   size_t idle_per_address = 64;
-  // A connection remembers the ids of all the requests that it carried, so the
-  // number of these bounds its memory.
+  // A connection stores the ids of all requests that it carried, so this number
+  // bounds its memory.
   size_t requests_per_connection = 512;
 };
 
-// Which connection a request may go over.
+// Specifies which connection a request may use.
 struct acquire_terms {
   bool needs_fresh = false;
-  // Id of the request; empty: it has none, and needs a fresh connection. One
-  // that carried a request of this id is not taken: a second answer to that
-  // request would bear the same name.
+  // Id of the request. A request with an empty id needs a new connection. A
+  // connection that has carried a request with this id is not used, because a
+  // second answer to that request would contain the same id.
   std::string request_id;
 };
 
@@ -86,16 +90,17 @@
   connection_pool(const connection_pool&) = delete;
   connection_pool& operator=(const connection_pool&) = delete;
 
-  // An idle connection to `address`, or a new one. `terms` is a variable that
-  // is moved in, see handler in listener.h. Empty with the reason when it can't
-  // be made by `deadline`.
+  // Returns an idle connection to `address`, or a new one. `terms` must be a
+  // variable that is moved in, see handler in listener.h. Returns empty and
+  // sets the last reason when no connection is established by `deadline`.
   boost::asio::awaitable<std::unique_ptr<connection>> Acquire(
       std::string address, core::time_point deadline, acquire_terms terms);
-  // Gives back a connection whose answer was read to its end. It is closed
-  // instead where the other side asked for that, has sent more than its answer,
-  // or did not name the request that it answered.
+  // Returns a connection to the pool after its answer was read to the end. The
+  // connection is closed instead when the peer requested that, sent bytes after
+  // the answer, or sent an answer without the id of the request.
   void Release(std::unique_ptr<connection> used);
-  // Opens a connection to `address` and closes it again.
+  // Opens a connection to `address` and closes it, to test whether it accepts
+  // connections.
   boost::asio::awaitable<connect_outcome> Probe(const std::string& address,
                                                 core::time_point deadline);
   // Closes the idle connections to `address`.
