--- a/packages/net/listener.cc
+++ b/packages/net/listener.cc
@@ -29,12 +29,14 @@
 using boost::system::error_code;
 
 constexpr auto kNoThrow = asio::as_tuple(asio::use_awaitable);
-// How long one write to a caller may make no progress before the connection is
-// given up: a caller that reads nothing must not hold its answer for ever.
+// Time limit of one write to a caller, after which the connection is closed: a
+// caller that reads nothing must not occupy the memory of its answer
+// indefinitely.
 constexpr std::chrono::seconds kWriteTimeout{20};
-// How long a body may take to arrive.
+// Time within which the body of a request must arrive.
 constexpr std::chrono::seconds kBodyTimeout{20};
-// Pause after a failed accept (no descriptor left), so that it does not spin.
+// Pause after a failed accept (no free file descriptor), which avoids a busy
+// loop.
 constexpr std::chrono::milliseconds kAcceptPause{50};
 constexpr unsigned kHttp11 = 11;
 
@@ -46,7 +48,7 @@
   bool is_idle = true;
 };
 
-// Completes once the caller has closed its side.
+// Completes when the caller has closed its side of the connection.
 awaitable<void> WaitForClose(session& connection) {
   tcp::socket& socket = connection.stream.socket();
   const auto [failure] =
@@ -57,8 +59,8 @@
       recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
   const bool is_closed = count == 0 || (count < 0 && errno != EAGAIN);
   if (is_closed) co_return;
-  // The next request is there already: from now on the close can't be seen
-  // without reading it.
+  // The next request has already arrived, and a close can't be detected without
+  // reading that request. Waits until it is cancelled.
   asio::steady_timer never(co_await asio::this_coro::executor);
   never.expires_at(asio::steady_timer::time_point::max());
   co_await never.async_wait(kNoThrow);
@@ -143,19 +145,20 @@
   bool is_stream_open_ = false;
 };
 
-request TakeRequest(http::request<http::string_body> input) {
-  request taken;
-  taken.method = std::string(input.method_string());
-  taken.target = std::string(input.target());
+request ConvertRequest(http::request<http::string_body> input) {
+  request converted;
+  converted.method = std::string(input.method_string());
+  converted.target = std::string(input.target());
   for (const auto& field : input) {
-    taken.headers.push_back(
+    converted.headers.push_back(
         {std::string(field.name_string()), std::string(field.value())});
   }
-  taken.body = std::move(input.body());
-  return taken;
+  converted.body = std::move(input.body());
+  return converted;
 }
 
-// The answer to a request that can't be read: 0 where none can be given.
+// The status with which a request that can't be read is answered; 0 when no
+// answer is possible.
 int StatusOfReadError(error_code failure) {
   if (failure == http::error::body_limit) return 413;
   if (failure == http::error::header_limit ||
@@ -185,7 +188,7 @@
   awaitable<bool> ServeOne(session& connection);
   awaitable<bool> WaitForRequest(session& connection,
                                  const caller_limits& limits);
-  awaitable<void> Refuse(session& connection, int status);
+  awaitable<void> ReplyStatus(session& connection, int status);
   awaitable<bool> Answer(session& connection, session_exchange& one);
 
   asio::io_context& loop;
@@ -248,16 +251,16 @@
 
 awaitable<void> listener::impl::Serve(std::shared_ptr<session> connection) {
   for (;;) {
-    const bool goes_on = co_await ServeOne(*connection);
-    if (!goes_on) break;
+    const bool may_continue = co_await ServeOne(*connection);
+    if (!may_continue) break;
   }
   error_code ignored;
   connection->stream.socket().shutdown(tcp::socket::shutdown_send, ignored);
   connection->stream.close();
 }
 
-// Waits for the first byte of a request under the idle limit. The limit of the
-// header starts only then.
+// Waits for the first byte of a request, for at most the idle timeout. The
+// header timeout starts when that byte arrives.
 awaitable<bool> listener::impl::WaitForRequest(session& connection,
                                                const caller_limits& limits) {
   if (connection.buffer.size() > 0) co_return true;
@@ -282,35 +285,36 @@
   const auto [header_failure, header_bytes] = co_await http::async_read_header(
       connection.stream, connection.buffer, parser, kNoThrow);
   if (header_failure) {
-    co_await Refuse(connection, StatusOfReadError(header_failure));
+    co_await ReplyStatus(connection, StatusOfReadError(header_failure));
     co_return false;
   }
   connection.stream.expires_after(kBodyTimeout);
-  const bool expects_go_ahead =
+  const bool expects_continue =
       beast::iequals(parser.get()[http::field::expect], "100-continue");
-  if (expects_go_ahead) {
-    static constexpr std::string_view kGoAhead =
+  if (expects_continue) {
+    static constexpr std::string_view kContinue =
         "HTTP/1.1 100 Continue\r\n\r\n";
     co_await asio::async_write(connection.stream,
-                               asio::buffer(kGoAhead.data(), kGoAhead.size()),
+                               asio::buffer(kContinue.data(), kContinue.size()),
                                kNoThrow);
   }
   const auto [body_failure, body_bytes] = co_await http::async_read(
       connection.stream, connection.buffer, parser, kNoThrow);
   if (body_failure) {
-    co_await Refuse(connection, StatusOfReadError(body_failure));
+    co_await ReplyStatus(connection, StatusOfReadError(body_failure));
     co_return false;
   }
   const bool keeps_alive = parser.get().keep_alive() && !is_draining;
-  session_exchange one(connection, TakeRequest(parser.release()), keeps_alive);
+  session_exchange one(connection, ConvertRequest(parser.release()),
+                       keeps_alive);
   ++in_flight;
-  const bool goes_on = co_await Answer(connection, one);
+  const bool may_continue = co_await Answer(connection, one);
   --in_flight;
-  co_return goes_on;
+  co_return may_continue;
 }
 
-// Runs the handler until it is done or the caller is gone. True when the
-// connection can take another request.
+// Runs the handler until it finishes or the caller disconnects. Returns true
+// when the connection can carry another request.
 awaitable<bool> listener::impl::Answer(session& connection,
                                        session_exchange& one) {
   using asio::experimental::awaitable_operators::operator||;
@@ -328,7 +332,7 @@
   co_return one.KeepsAlive() && !is_closed;
 }
 
-awaitable<void> listener::impl::Refuse(session& connection, int status) {
+awaitable<void> listener::impl::ReplyStatus(session& connection, int status) {
   if (status == 0) co_return;
   session_exchange one(connection, request{}, false);
   response answer;
--- a/packages/net/listener.h
+++ b/packages/net/listener.h
@@ -2,9 +2,9 @@
 #define HICKORYWOOD_NET_LISTENER_H_
 
 // An HTTP/1.1 listener on one I/O loop. A handler is a coroutine that answers
-// one exchange; when the caller closes its connection first, the handler is
-// cancelled at its next suspension, and what it holds (connections to
-// endpoints, places in queues) is given back as its frame unwinds.
+// one exchange. When the caller closes its connection first, the handler is
+// cancelled at its next suspension point, and its resources (connections to
+// endpoints, queue positions) are released as the coroutine frame is destroyed.
 
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/io_context.hpp>
@@ -18,7 +18,8 @@
 
 namespace hickorywood::net {
 
-// What a caller may send, and how long it may take or stay idle.
+// Limits on the size of a request, on the time to send it, and on the idle time
+// of a connection.
 struct caller_limits {
   uint32_t header_bytes = 16 * 1024;
   uint64_t body_bytes = 32 * 1024 * 1024;
@@ -26,7 +27,7 @@
   std::chrono::milliseconds idle_timeout{15000};
 };
 
-// One request and the way to answer it. Answered once.
+// A request and the means to answer it. It must be answered only once.
 class exchange {
  public:
   virtual ~exchange() = default;
@@ -35,24 +36,25 @@
 
   virtual boost::asio::awaitable<void> Reply(response answer) = 0;
 
-  // A streamed answer: the head, pieces, the end. Without End() the connection
-  // is closed, so that the caller sees that the answer is not whole.
+  // Sends a streamed answer: the head, pieces, the end. Without EndStream() the
+  // connection is closed, so that the caller detects the incomplete answer.
   virtual boost::asio::awaitable<void> BeginStream(response head) = 0;
   virtual boost::asio::awaitable<void> WriteStream(std::string piece) = 0;
   virtual boost::asio::awaitable<void> EndStream() = 0;
 };
 
-// Handlers take care not to build an aggregate within a co_await expression
+// Handlers must not construct an aggregate within a co_await expression
 // (`co_await Reply({200, ...})`): GCC 12 copies its bytes and destroys it
-// twice. A named variable that is moved in is right.
+// twice. Move in a named variable instead.
 using handler = std::function<boost::asio::awaitable<void>(exchange&)>;
 
 struct listener_options {
-  std::string address;  // "IP:PORT"; port 0 takes a free one
-  // Read before each request, so that a changed configuration counts at once.
+  std::string address;  // "IP:PORT"; port 0 selects a free port
+  // Called before each request, so that a changed configuration applies
+  // immediately.
   std::function<caller_limits()> limits;
-  // Connections held at once; past it new ones are closed. The descriptors of
-  // the process bound it.
+  // Maximum number of open connections; further connections are closed when
+  // they are accepted. The process has a limited number of file descriptors.
   size_t max_connections = 3000;
 };
 
@@ -64,15 +66,15 @@
   listener(const listener&) = delete;
   listener& operator=(const listener&) = delete;
 
-  // False with the reason when the address can't be bound.
+  // Returns false and sets the last reason when the address can't be bound.
   bool Start();
-  // Each answer from now on asks its caller to close the connection.
+  // From now on, each answer requests that the caller closes its connection.
   void BeginDrain();
-  // Closes the listening socket and the connections without a request.
+  // Closes the listening socket and the idle connections.
   void StopAccepting();
 
   uint16_t Port() const;
-  // Requests that are not answered yet.
+  // Number of requests that are not answered yet.
   size_t InFlight() const;
   size_t Connections() const;
 
