--- a/packages/net/address.cc
+++ b/packages/net/address.cc
@@ -11,9 +11,9 @@
 namespace hickorywood::net {
 namespace {
 
-// Milliseconds that sent bytes may go unacknowledged. Well above a round trip
+// Time that sent bytes may stay unacknowledged. It is well above a round trip
 // between regions with one retransmission.
-constexpr int kUnacknowledgedMs = 4000;
+constexpr int kMaxUnacknowledgedMs = 4000;
 
 }  // namespace
 
@@ -37,10 +37,10 @@
 }
 
 void TuneSocket(boost::asio::ip::tcp::socket& socket) {
-  boost::system::error_code ignored;  // the connection works without, slower
+  boost::system::error_code ignored;  // without the option it is only slower
   socket.set_option(boost::asio::ip::tcp::no_delay(true), ignored);
   setsockopt(socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT,
-             &kUnacknowledgedMs, sizeof(kUnacknowledgedMs));
+             &kMaxUnacknowledgedMs, sizeof(kMaxUnacknowledgedMs));
 }
 
 }  // namespace hickorywood::net
--- a/packages/net/address.h
+++ b/packages/net/address.h
@@ -7,13 +7,14 @@
 
 namespace hickorywood::net {
 
-// Reads "IP:PORT". Empty with reason kInvalid otherwise; names are not looked
-// up.
+// Parses "IP:PORT". Returns empty with reason kInvalid for any other text; host
+// names are not resolved.
 std::optional<boost::asio::ip::tcp::endpoint> ParseAddress(
     const std::string& text);
 
-// Sets what each connection of the system has: no delay of small writes, and an
-// end after silence. A peer without power answers nothing; without the limit
+// Sets the options of every connection of the system: small writes are sent
+// without delay, and the connection fails when sent bytes stay unacknowledged
+// for too long. A peer that lost power acknowledges nothing; without the limit
 // its connection hangs for many minutes.
 void TuneSocket(boost::asio::ip::tcp::socket& socket);
 
