--- a/packages/net/message.cc
+++ b/packages/net/message.cc
@@ -33,13 +33,14 @@
       "Proxy-Authenticate",  "Transfer-Encoding", "TE",
       "Proxy-Authorization", "Trailer",           "Upgrade",
       "Content-Length"};
-  return std::any_of(
-      kNames.begin(), kNames.end(),
-      [name](std::string_view known) { return SameName(known, name); });
+  return std::any_of(kNames.begin(), kNames.end(),
+                     [name](std::string_view hop_by_hop) {
+                       return SameName(hop_by_hop, name);
+                     });
 }
 
 header_list EndToEnd(const header_list& headers) {
-  const auto is_named = [&headers](std::string_view name) {
+  const auto is_listed = [&headers](std::string_view name) {
     return std::any_of(headers.begin(), headers.end(),
                        [name](const header& item) {
                          return SameName(item.name, "Connection") &&
@@ -48,12 +49,12 @@
                                     .exists({name.data(), name.size()});
                        });
   };
-  header_list kept;
+  header_list end_to_end;
   for (const header& item : headers) {
-    if (IsHopByHop(item.name) || is_named(item.name)) continue;
-    kept.push_back(item);
+    if (IsHopByHop(item.name) || is_listed(item.name)) continue;
+    end_to_end.push_back(item);
   }
-  return kept;
+  return end_to_end;
 }
 
 std::string_view PathOf(std::string_view target) {
--- a/packages/net/message.h
+++ b/packages/net/message.h
@@ -30,19 +30,19 @@
   std::string body;
 };
 
-// Whether two header names are the same: they compare without case.
+// Whether two header names are equal, ignoring case.
 bool SameName(std::string_view left, std::string_view right);
 
 // The value of the first header of that name, or empty.
 std::string_view Find(const header_list& headers, std::string_view name);
 bool Has(const header_list& headers, std::string_view name);
 
-// Whether a header concerns one connection only and is never forwarded (RFC
-// 9110, section 7.6.1), the body's framing included.
+// Whether a header applies to a single connection only and is never forwarded
+// (RFC 9110, section 7.6.1). This includes the headers that frame the body.
 bool IsHopByHop(std::string_view name);
 
-// `headers` without those that concern one connection only, nor any that their
-// Connection header names.
+// Returns `headers` without the hop-by-hop headers and without those that the
+// Connection header lists.
 header_list EndToEnd(const header_list& headers);
 
 // The path of a target, without the query.
