--- a/packages/net/event.h
+++ b/packages/net/event.h
@@ -1,7 +1,7 @@
 #ifndef HICKORYWOOD_NET_EVENT_H_
 #define HICKORYWOOD_NET_EVENT_H_
 
-// Waiting in coroutines of one I/O loop.
+// Primitives for waiting in coroutines of one I/O loop.
 
 #include <boost/asio/as_tuple.hpp>
 #include <boost/asio/awaitable.hpp>
@@ -18,14 +18,14 @@
 
 namespace hickorywood::net {
 
-// Wakes every coroutine that waits for it.
+// A condition that wakes every coroutine that waits for it.
 class event {
  public:
-  // Returns at the next Notify() or at `deadline`, whichever is first.
+  // Returns at the next Notify() or at `deadline`, whichever is earlier.
   boost::asio::awaitable<void> WaitUntil(core::time_point deadline) {
     boost::asio::steady_timer timer(co_await boost::asio::this_coro::executor);
     timer.expires_at(deadline);
-    const registration held(waiting_, timer);
+    const registration scope(waiting_, timer);
     co_await timer.async_wait(
         boost::asio::as_tuple(boost::asio::use_awaitable));
   }
@@ -37,7 +37,7 @@
  private:
   using timer_set = std::set<boost::asio::steady_timer*>;
 
-  // Takes the timer off the list also when its coroutine is cancelled.
+  // Removes the timer from the set also when its coroutine is cancelled.
   class registration {
    public:
     registration(std::shared_ptr<timer_set> set,
@@ -57,7 +57,8 @@
   std::shared_ptr<timer_set> waiting_ = std::make_shared<timer_set>();
 };
 
-// A value that one side sets once and the other waits for. Copies share it.
+// A value that is set once and that coroutines can wait for. Copies share the
+// value.
 template <typename T>
 class one_shot {
  public:
@@ -69,12 +70,12 @@
     state_->is_set.Notify();
   }
 
-  // Empty when nothing was set by `deadline`.
+  // Returns empty when no value is set by `deadline`.
   boost::asio::awaitable<std::optional<T>> WaitUntil(
       core::time_point deadline) const {
-    const std::shared_ptr<state> held = state_;
-    if (!held->value) co_await held->is_set.WaitUntil(deadline);
-    co_return held->value;
+    const std::shared_ptr<state> shared = state_;
+    if (!shared->value) co_await shared->is_set.WaitUntil(deadline);
+    co_return shared->value;
   }
 
  private:
