--- a/tests/unit/routing/adaptive_limit_test.cc
+++ b/tests/unit/routing/adaptive_limit_test.cc
@@ -11,13 +11,14 @@
 constexpr int64_t kSlots = 40;
 const core::time_point kStart = core::time_point(seconds(100));
 
-TEST(AdaptiveLimitTest, HalfOfThePlacesAtFirst) {
+TEST(AdaptiveLimitTest, StartsAtHalfOfTheSlots) {
   EXPECT_EQ(AllowedNow(adaptive_limit{}, kSlots), kSlots / 2);
 }
 
-// Nobody says how many places there are, or there is only one. Something must
-// be under way, or nothing would ever be learned.
-TEST(AdaptiveLimitTest, NeverNothing) {
+// The number of slots is unknown, or there is only one. The limit must stay
+// above 0: without requests in flight there are no answers from which it could
+// grow.
+TEST(AdaptiveLimitTest, NeverFallsToZero) {
   adaptive_limit limit;
   EXPECT_GE(AllowedNow(limit, 0), 1);
   for (int i = 0; i < 50; ++i) {
@@ -26,15 +27,15 @@
   EXPECT_GE(AllowedNow(limit, 1), 1);
 }
 
-// Interactive callers fill the endpoints and calls that can wait are refused.
-// The bound falls with each round of refusals, and is back at half of the
-// places some rounds of answers later.
-TEST(AdaptiveLimitTest, FallsWithRefusalsAndComesBack) {
+// Interactive requests fill the endpoints, which reject deferrable requests.
+// The limit falls with each round of rejections and recovers to half of the
+// slots after some rounds of answers.
+TEST(AdaptiveLimitTest, FallsWithRejectionsAndRecovers) {
   adaptive_limit limit;
   NoteRefused(limit, kSlots, kStart);
   const int64_t after_one = AllowedNow(limit, kSlots);
   EXPECT_LT(after_one, kSlots / 2);
-  // Sent under the same bound: the same news.
+  // This request was sent under the same limit, so its rejection doesn't count.
   NoteRefused(limit, kSlots, kStart + milliseconds(50));
   EXPECT_EQ(AllowedNow(limit, kSlots), after_one);
   NoteRefused(limit, kSlots, kStart + seconds(1));
@@ -43,8 +44,8 @@
   EXPECT_EQ(AllowedNow(limit, kSlots), kSlots / 2);
 }
 
-// Half of the endpoints leave: the bound follows at once.
-TEST(AdaptiveLimitTest, FollowsThePlaces) {
+// Half of the endpoints are removed: the limit follows immediately.
+TEST(AdaptiveLimitTest, FollowsTheNumberOfSlots) {
   adaptive_limit limit;
   NoteServed(limit, kSlots);
   EXPECT_EQ(AllowedNow(limit, kSlots / 2), kSlots / 4);
--- a/tests/unit/routing/endpoint_choice_test.cc
+++ b/tests/unit/routing/endpoint_choice_test.cc
@@ -40,7 +40,7 @@
   core::time_point now_ = core::time_point(seconds(100));
 };
 
-TEST_F(EndpointChoiceTest, OwnZoneFirstAndSpillOver) {
+TEST_F(EndpointChoiceTest, PrefersOwnZoneAndSpillsOver) {
   EXPECT_EQ(Choose(), "in-b");
   NoteSent(book_, "in-b");
   EXPECT_NE(Choose(), "in-b");
@@ -48,7 +48,7 @@
   EXPECT_EQ(Choose(), "in-b");
 }
 
-TEST_F(EndpointChoiceTest, DrainingAndTriedEndpointsAreLeftOut) {
+TEST_F(EndpointChoiceTest, DrainingAndTriedEndpointsAreExcluded) {
   endpoints_[1].state = fleet::endpoint_state::kDraining;
   excluded_ = {"in-a"};
   EXPECT_EQ(Choose(), "in-c");
@@ -56,8 +56,8 @@
   EXPECT_EQ(Choose(), "");
 }
 
-// An endpoint crashed: the entry that met the failure leaves it alone, but
-// tries it rather than refuse a request when nothing else is left.
+// An endpoint crashed: the entry that observed the failure avoids the endpoint,
+// but prefers it to rejecting a request when no other endpoint is left.
 TEST_F(EndpointChoiceTest, FailedEndpointIsTheLastResort) {
   NoteFailure(book_, "in-b", now_);
   EXPECT_NE(Choose(), "in-b");
@@ -68,9 +68,9 @@
   EXPECT_EQ(Choose(), "in-b");
 }
 
-// An endpoint answers three times as slowly as its peers. It gets work again
-// once that is no news any more.
-TEST_F(EndpointChoiceTest, SlowEndpointIsAvoidedForAWhile) {
+// An endpoint answers more than three times as slowly as its peers. It receives
+// requests again when its latency samples have expired.
+TEST_F(EndpointChoiceTest, SlowEndpointIsAvoidedUntilSamplesExpire) {
   for (int i = 0; i < 8; ++i) {
     NoteAnswer(book_, "in-a", milliseconds(25), {}, now_);
     NoteAnswer(book_, "in-b", milliseconds(90), {}, now_);
@@ -81,17 +81,19 @@
   EXPECT_EQ(Choose(), "in-b");
 }
 
-// Other entries load the endpoint of this zone: its answers say so, and the
-// word fades with its age.
-TEST_F(EndpointChoiceTest, LoadOfOtherEntriesCountsWhileItIsFresh) {
+// Other entries send requests to the endpoint of this zone. The endpoint
+// reports that load in its answers, and the weight of the report decreases with
+// its age.
+TEST_F(EndpointChoiceTest, LoadOfOtherEntriesCountsUntilItExpires) {
   NoteAnswer(book_, "in-b", milliseconds(25), fleet::load_hint{5, 2, 6}, now_);
   EXPECT_NE(Choose(), "in-b");
   now_ += milliseconds(1001);
   EXPECT_EQ(Choose(), "in-b");
 }
 
-// The control group hears nothing of an endpoint that callers still reach.
-TEST_F(EndpointChoiceTest, SilentEndpointIsUsedWithCaution) {
+// The control group receives no heartbeats of an endpoint that callers can
+// still reach.
+TEST_F(EndpointChoiceTest, UnresponsiveEndpointIsTheLastResort) {
   endpoints_[1].state = fleet::endpoint_state::kSilent;
   EXPECT_NE(Choose(), "in-b");
   excluded_ = {"in-a", "in-c"};
--- a/tests/unit/routing/routing_test.cc
+++ b/tests/unit/routing/routing_test.cc
@@ -29,14 +29,14 @@
   return item;
 }
 
-TEST(ChoiceTest, CorrectedLoadReplacesOurShareOfTheReport) {
+TEST(ChoiceTest, CorrectedLoadReplacesOwnShareOfTheReport) {
   EXPECT_EQ(CorrectedLoad(Candidate("e", 10, 6, 4)), 12);
   EXPECT_EQ(CorrectedLoad(Candidate("e", 2, 0, 5)), 0);
 }
 
-// Between two reports all work would go to the endpoint that looked idle; the
-// correction spreads it.
-TEST(ChoiceTest, LaggingReportsDoNotCauseAHerd) {
+// Without the corrected load, all requests between two reports would go to the
+// endpoint that the last report shows as idle.
+TEST(ChoiceTest, DelayedReportsDoNotCauseAHerd) {
   choice_policy policy;
   policy.uses_affinity = false;
   choice_state state;
@@ -70,18 +70,18 @@
   EXPECT_TRUE(spilled);
 }
 
-TEST(ChoiceTest, PrefixKeepsItsHomeWhileTheLoadAllows) {
+TEST(ChoiceTest, PrefixStaysOnItsEndpointWithinTheLoadBound) {
   const choice_policy policy;
   choice_state state;
   std::vector<candidate> candidates = {Candidate("a", 2, 0, 0),
                                        Candidate("b", 2, 0, 0),
                                        Candidate("c", 2, 0, 0)};
-  const size_t home = *ChooseEndpoint(policy, state, candidates, 42);
+  const size_t assigned = *ChooseEndpoint(policy, state, candidates, 42);
   for (int i = 0; i < 20; ++i) {
-    EXPECT_EQ(*ChooseEndpoint(policy, state, candidates, 42), home);
+    EXPECT_EQ(*ChooseEndpoint(policy, state, candidates, 42), assigned);
   }
-  candidates[home].reported_load = 50;
-  EXPECT_NE(*ChooseEndpoint(policy, state, candidates, 42), home);
+  candidates[assigned].reported_load = 50;
+  EXPECT_NE(*ChooseEndpoint(policy, state, candidates, 42), assigned);
 }
 
 TEST(ChoiceTest, SlowEndpointGetsLess) {
@@ -101,7 +101,7 @@
   EXPECT_LT(slow, 55);
 }
 
-RC_GTEST_PROP(ChoiceTest, NeverAnEndpointWithoutRoom, ()) {
+RC_GTEST_PROP(ChoiceTest, NeverAnEndpointWithoutCapacity, ()) {
   const auto loads =
       *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 20));
   std::vector<candidate> candidates;
@@ -114,11 +114,11 @@
   choice_state state;
   const auto chosen = ChooseEndpoint(choice_policy{}, state, candidates,
                                      *rc::gen::arbitrary<uint64_t>());
-  bool has_room = false;
+  bool has_capacity = false;
   for (const candidate& item : candidates) {
-    has_room = has_room || item.outstanding < item.allowed;
+    has_capacity = has_capacity || item.outstanding < item.allowed;
   }
-  RC_ASSERT(chosen.has_value() == has_room);
+  RC_ASSERT(chosen.has_value() == has_capacity);
   if (chosen) {
     RC_ASSERT(candidates[*chosen].outstanding < candidates[*chosen].allowed);
   }
@@ -141,8 +141,8 @@
             100);
 }
 
-// All endpoints fail at once, as when a switch is gone: ejection stops at the
-// floor.
+// All endpoints fail at the same time, for example because a switch failed:
+// ejection stops at the floor.
 TEST(HealthTest, EjectionKeepsTheFloor) {
   stats_table table;
   const std::vector<std::string> peers = {"a", "b", "c", "d"};
@@ -223,21 +223,21 @@
   }
 }
 
-// A request whose wait would pass its limit is refused at once, with when to
-// come back.
-TEST(AdmissionTest, RefusesAtOnceWithWhenToComeBack) {
+// A request whose expected wait exceeds its limit is rejected immediately, with
+// the time after which to retry.
+TEST(AdmissionTest, RejectsImmediatelyWithRetryAfter) {
   completion_rate rate;
   for (int i = 0; i <= 100; ++i) {
     NoteCompletion(rate, kStart + milliseconds(10 * i));
   }
   EXPECT_NEAR(rate.per_second, 100, 10);
   EXPECT_TRUE(Admit(rate, 50, milliseconds(1000)).is_admitted);
-  const admission_decision refused = Admit(rate, 300, milliseconds(1000));
-  EXPECT_FALSE(refused.is_admitted);
-  EXPECT_NEAR(static_cast<double>(refused.retry_after.count()), 2000, 300);
+  const admission_decision rejected = Admit(rate, 300, milliseconds(1000));
+  EXPECT_FALSE(rejected.is_admitted);
+  EXPECT_NEAR(static_cast<double>(rejected.retry_after.count()), 2000, 300);
 }
 
-TEST(RetryBudgetTest, FailuresAloneUseItUp) {
+TEST(RetryBudgetTest, FailuresAloneExhaustIt) {
   retry_budget budget;
   int retries = 0;
   for (int i = 0; i < 1000; ++i) retries += TakeRetry(budget) ? 1 : 0;
