--- a/tests/unit/entry/relay_test.cc
+++ b/tests/unit/entry/relay_test.cc
@@ -1,5 +1,5 @@
-// What callers get through an entry from endpoints that answer twice, for
-// another request, or without their mark.
+// Tests which answers callers receive through an entry when endpoints answer
+// twice, answer another request, or omit their mark.
 
 #include "entry/relay.h"
 
@@ -26,23 +26,24 @@
 using core::milliseconds;
 using fleet::route_kind;
 
-constexpr int kTries = 4;
+constexpr int kMaxAttempts = 4;
 constexpr milliseconds kSlack{300};
-constexpr milliseconds kLimit{100000};
-// A copy is sent after half of the objective, while the request is at work.
+constexpr milliseconds kTestTimeout{100000};
+// A copy is sent after half of the objective, while the request is running.
 constexpr milliseconds kHedgedObjective{40};
 constexpr milliseconds kHedgedWork{60};
 constexpr int kHedgedRequests = 4;
-// Plain requests follow streams over the connections of those.
+// Plain requests after streams reuse the connections of the streams.
 constexpr route_kind kKinds[] = {route_kind::kStream, route_kind::kIdempotent,
                                  route_kind::kNonIdempotent,
                                  route_kind::kIdempotent};
 
-// An entry before one endpoint.
-class entry_stand_in {
+// A relay with a listener, as in an entry, and a view that contains
+// `endpoints`.
+class test_entry {
  public:
-  entry_stand_in(io_context& loop, const std::vector<std::string>& endpoints,
-                 milliseconds timeout, milliseconds objective)
+  test_entry(io_context& loop, const std::vector<std::string>& endpoints,
+             milliseconds timeout, milliseconds objective)
       : pool_(loop),
         crashes_(loop, clock_, pool_, view_,
                  [](fleet::crash_news) -> awaitable<bool> { co_return true; }),
@@ -92,11 +93,12 @@
   net::listener listener_;
 };
 
-awaitable<net::call_result> Ask(io_context& loop, entry_stand_in& entry,
-                                net::request input, milliseconds patience) {
+awaitable<net::call_result> SendRequest(io_context& loop, test_entry& entry,
+                                        net::request input,
+                                        milliseconds timeout) {
   net::connection_pool pool(loop);
   net::call_options options;
-  options.deadline = std::chrono::steady_clock::now() + patience;
+  options.deadline = std::chrono::steady_clock::now() + timeout;
   options.connect_deadline = options.deadline;
   options.needs_fresh = true;
   co_return co_await net::Call(pool, entry.Address(), input, options);
@@ -108,29 +110,29 @@
          input.target + ", arrived as number " + std::to_string(count);
 }
 
-// Requests of all kinds, one after the other.
+// Results of a series of consecutive requests through one entry.
 struct series {
   net::stutter script;
-  bool repeats_id = false;  // callers give all requests the same id
+  bool repeats_id = false;  // all requests have the same id
   size_t served = 0;
   std::vector<std::string> wrong;
-  bool is_over = false;
+  bool is_finished = false;
 };
 
-awaitable<void> AskAll(io_context& loop, series& self) {
+awaitable<void> SendSeries(io_context& loop, series& self) {
   net::stuttering_server endpoint(loop, self.script, OwnAnswer);
   const milliseconds timeout = self.script.work + kSlack;
-  entry_stand_in entry(loop, {endpoint.Address()}, timeout, timeout);
+  test_entry entry(loop, {endpoint.Address()}, timeout, timeout);
   int number = 0;
   for (const route_kind kind : kKinds) {
     entry.SetKind(kind);
-    for (int attempt = 0; attempt < kTries; ++attempt) {
+    for (int attempt = 0; attempt < kMaxAttempts; ++attempt) {
       const std::string name = std::to_string(++number);
       net::request input;
       input.target = "/" + name;
       input.headers = {{"X-Request-Id", self.repeats_id ? "r" : "r" + name}};
       const net::call_result result =
-          co_await Ask(loop, entry, input, timeout + kSlack);
+          co_await SendRequest(loop, entry, input, timeout + kSlack);
       const bool is_success = result.how == net::progress::kAnswered &&
                               result.answer.status / 100 == 2;
       if (!is_success) continue;
@@ -140,10 +142,11 @@
       break;
     }
   }
-  self.is_over = true;
+  self.is_finished = true;
 }
 
-// Guards against callers that get the second answer to a request before theirs.
+// Guards against a second answer that is returned to the caller of a later
+// request.
 TEST(RelayTest, SecondAnswersReachNoCaller) {
   io_context loop;
   std::list<series> all;
@@ -152,18 +155,18 @@
       all.push_back({script, repeats_id});
     }
   }
-  size_t over = 0;
+  size_t finished = 0;
   for (series& one : all) {
-    boost::asio::co_spawn(loop, AskAll(loop, one),
-                          [&loop, &over, &all](const std::exception_ptr&) {
-                            if (++over == all.size()) loop.stop();
+    boost::asio::co_spawn(loop, SendSeries(loop, one),
+                          [&loop, &finished, &all](const std::exception_ptr&) {
+                            if (++finished == all.size()) loop.stop();
                           });
   }
-  loop.run_for(kLimit);
+  loop.run_for(kTestTimeout);
   for (const series& one : all) {
     std::ostringstream name;
     name << one.script << (one.repeats_id ? ", same id again" : "");
-    EXPECT_TRUE(one.is_over) << name.str();
+    EXPECT_TRUE(one.is_finished) << name.str();
     EXPECT_EQ(one.served, std::size(kKinds)) << name.str();
     for (const std::string& body : one.wrong) {
       ADD_FAILURE() << name.str() << ": " << body;
@@ -171,20 +174,20 @@
   }
 }
 
-// Requests that are at work for longer than their copies are held back.
-awaitable<void> AskWithCopies(io_context& loop, series& self) {
+// Sends requests that run longer than the delay after which a copy is sent.
+awaitable<void> SendWithCopies(io_context& loop, series& self) {
   net::stuttering_server first(loop, self.script, OwnAnswer);
   net::stuttering_server second(loop, self.script, OwnAnswer);
   const milliseconds timeout = self.script.work + kSlack;
-  entry_stand_in entry(loop, {first.Address(), second.Address()}, timeout,
-                       kHedgedObjective);
+  test_entry entry(loop, {first.Address(), second.Address()}, timeout,
+                   kHedgedObjective);
   entry.SetKind(route_kind::kIdempotent);
   for (int number = 0; number < kHedgedRequests; ++number) {
     net::request input;
     input.target = "/" + std::to_string(number);
     input.headers = {{"X-Request-Id", "r" + std::to_string(number)}};
     const net::call_result result =
-        co_await Ask(loop, entry, input, timeout + kSlack);
+        co_await SendRequest(loop, entry, input, timeout + kSlack);
     if (result.answer.status != 200) continue;
     ++self.served;
     const std::string& body = result.answer.body;
@@ -192,11 +195,11 @@
                         body == OwnAnswer(input, second.Requests(), false);
     if (!is_own) self.wrong.push_back(body);
   }
-  self.is_over = true;
+  self.is_finished = true;
 }
 
-// Guards against second answers where two endpoints run copies of a request and
-// the slower one's connection is cut.
+// Guards against second answers when two endpoints run copies of a request and
+// the connection to the slower endpoint is closed.
 TEST(RelayTest, SecondAnswersReachNoCallerOfCopies) {
   io_context loop;
   std::list<series> all;
@@ -204,18 +207,18 @@
     script.work = std::max(script.work, kHedgedWork);
     all.push_back({script});
   }
-  size_t over = 0;
+  size_t finished = 0;
   for (series& one : all) {
-    boost::asio::co_spawn(loop, AskWithCopies(loop, one),
-                          [&loop, &over, &all](const std::exception_ptr&) {
-                            if (++over == all.size()) loop.stop();
+    boost::asio::co_spawn(loop, SendWithCopies(loop, one),
+                          [&loop, &finished, &all](const std::exception_ptr&) {
+                            if (++finished == all.size()) loop.stop();
                           });
   }
-  loop.run_for(kLimit);
+  loop.run_for(kTestTimeout);
   for (const series& one : all) {
     std::ostringstream name;
     name << one.script;
-    EXPECT_TRUE(one.is_over) << name.str();
+    EXPECT_TRUE(one.is_finished) << name.str();
     EXPECT_GT(one.served, 0U) << name.str();
     for (const std::string& body : one.wrong) {
       ADD_FAILURE() << name.str() << ": " << body;
@@ -223,8 +226,10 @@
   }
 }
 
-// What a caller gets whose endpoint gives `answer`, whatever it is asked.
-net::call_result AnswerThrough(route_kind kind, const net::response& answer) {
+// Returns what a caller receives when its endpoint answers every request with
+// `answer`.
+net::call_result CallThroughEntry(route_kind kind,
+                                  const net::response& answer) {
   io_context loop;
   net::listener_options options;
   options.address = "127.0.0.1:0";
@@ -235,37 +240,38 @@
                            co_await call.Reply(std::move(copy));
                          });
   endpoint.Start();
-  entry_stand_in entry(loop, {"127.0.0.1:" + std::to_string(endpoint.Port())},
-                       kSlack, kSlack);
+  test_entry entry(loop, {"127.0.0.1:" + std::to_string(endpoint.Port())},
+                   kSlack, kSlack);
   entry.SetKind(kind);
   net::request input;
   input.target = "/";
   input.headers = {{"X-Request-Id", "r"}};
   net::call_result result;
   boost::asio::co_spawn(
-      loop, Ask(loop, entry, input, 2 * kSlack),
+      loop, SendRequest(loop, entry, input, 2 * kSlack),
       [&loop, &result](const std::exception_ptr&, net::call_result got) {
         result = std::move(got);
         loop.stop();
       });
-  loop.run_for(kLimit);
+  loop.run_for(kTestTimeout);
   return result;
 }
 
-// Guards against a success that no endpoint has signed, and against one that is
-// signed for another request.
-TEST(RelayTest, SuccessesOfOthersReachNoCaller) {
+// Guards against passing on a success without an endpoint's signature, or one
+// that is signed for another request.
+TEST(RelayTest, MismatchedSuccessesReachNoCaller) {
   for (const route_kind kind : {route_kind::kStream, route_kind::kIdempotent,
                                 route_kind::kNonIdempotent}) {
     net::response unsigned_answer;
     unsigned_answer.headers = {{"X-Request-Id", "r"}};
-    EXPECT_GE(AnswerThrough(kind, unsigned_answer).answer.status, 500);
-    net::response foreign;
-    foreign.headers = {{"X-Request-Id", "q"}, {"X-Response-Stamp", "signed"}};
-    EXPECT_GE(AnswerThrough(kind, foreign).answer.status, 500);
+    EXPECT_GE(CallThroughEntry(kind, unsigned_answer).answer.status, 500);
+    net::response mismatched;
+    mismatched.headers = {{"X-Request-Id", "q"},
+                          {"X-Response-Stamp", "signed"}};
+    EXPECT_GE(CallThroughEntry(kind, mismatched).answer.status, 500);
     net::response own;
     own.headers = {{"X-Request-Id", "r"}, {"X-Response-Stamp", "signed"}};
-    EXPECT_EQ(AnswerThrough(kind, own).answer.status, 200);
+    EXPECT_EQ(CallThroughEntry(kind, own).answer.status, 200);
   }
 }
 
