--- a/tests/unit/net/connection_pool_test.cc
+++ b/tests/unit/net/connection_pool_test.cc
@@ -1,5 +1,5 @@
-// Connections over real sockets: what a caller gets when answers are cut, late
-// or doubled, and what the other side sees of a cancelled call.
+// Tests connections over real sockets: what the peer observes when a call is
+// cancelled.
 
 #include "net/connection_pool.h"
 
@@ -25,7 +25,8 @@
   return std::chrono::steady_clock::now() + time;
 }
 
-// Reads the stream of `address` until it ends or breaks.
+// Reads a stream from `address` until it ends or breaks. Returns the number of
+// reads.
 awaitable<int> ReadAll(connection_pool& pool, std::string address) {
   acquire_terms terms;
   std::unique_ptr<connection> open =
@@ -46,8 +47,9 @@
   co_return pieces;
 }
 
-// A step ends while its tasks run: each run is cancelled in the middle of its
-// stream. The engine must see its connection close, so that it stops work.
+// A step ends while its tasks are running, and each run is cancelled in the
+// middle of its stream. The connection to the engine must be closed, so that
+// the engine stops the work.
 TEST(ConnectionPoolTest, CancelledStreamsCloseTheirConnections) {
   io_context loop;
   constexpr int kStreams = 20;
--- a/tests/unit/net/listener_test.cc
+++ b/tests/unit/net/listener_test.cc
@@ -1,5 +1,6 @@
-// The listener over raw sockets: what a proxy in front of endpoints must take,
-// refuse or close so that no caller gets another one's answer.
+// Tests the listener over raw sockets: which requests a proxy in front of
+// endpoints must accept or reject, and which connections it must close, so that
+// no caller receives the answer of another caller.
 
 #include "net/listener.h"
 
@@ -55,12 +56,12 @@
     return options;
   }
 
-  // Answers with the target and the body. "/wait" answers when it is told to.
+  // Answers with the target and the body. "/wait" waits until it is cancelled.
   asio::awaitable<void> Serve(exchange& call) {
-    const struct cancel_note {
-      bool& is_over;
-      ~cancel_note() { is_over = true; }
-    } note{is_over_};
+    const struct finish_guard {
+      bool& is_finished;
+      ~finish_guard() { is_finished = true; }
+    } guard{is_finished_};
     response answer;
     answer.body = call.Request().target + "|" + call.Request().body;
     if (call.Request().target == "/wait") {
@@ -108,7 +109,7 @@
   asio::io_context loop_;
   asio::io_context client_;
   event never_;
-  bool is_over_ = false;
+  bool is_finished_ = false;
   listener server_;
   std::thread thread_;
 };
@@ -116,8 +117,9 @@
 constexpr char kLast[] =
     "GET /last HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n";
 
-// HTTP/1.1 keeps connections by itself, and callers send the next request
-// before they have the answer: each gets its own, in order.
+// HTTP/1.1 connections are persistent, and callers send the next request before
+// they have the previous answer. Each request must get its own answer, in
+// order.
 TEST_F(ListenerTest, PipelinedRequestsAreAnsweredInOrder) {
   const std::string answer = Exchange(
       "GET /a HTTP/1.1\r\nHost: h\r\n\r\n"
@@ -132,10 +134,10 @@
   EXPECT_LT(b, last);
 }
 
-// What two parsers could read differently would smuggle a second request past
-// the first one. It is refused, and the connection ends: nothing after it is
-// taken for a request.
-TEST_F(ListenerTest, AmbiguousFramingIsRefusedAndTheConnectionEnds) {
+// A request that two parsers could interpret differently allows request
+// smuggling. It is rejected and the connection is closed, so that no bytes
+// after it are parsed as a request.
+TEST_F(ListenerTest, AmbiguousFramingIsRejectedAndTheConnectionCloses) {
   for (const char* head :
        {"Content-Length: 3\r\nContent-Length: 4\r\n", "Content-Length: +3\r\n",
         "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n", "Host : h\r\n",
@@ -147,7 +149,7 @@
   }
 }
 
-TEST_F(ListenerTest, OversizedHeadersAndBodies) {
+TEST_F(ListenerTest, OversizedHeadersAndBodiesAreRejected) {
   const std::string header = Exchange("GET /a HTTP/1.1\r\nHost: h\r\nX-Long: " +
                                       std::string(100000, 'x') + "\r\n\r\n");
   EXPECT_EQ(Count(header, "HTTP/1.1 431"), 1U) << header;
@@ -157,21 +159,21 @@
   EXPECT_EQ(Count(body, "HTTP/1.1 413"), 1U) << body;
 }
 
-TEST_F(ListenerTest, GoAheadIsGivenWhereItIsAskedFor) {
+TEST_F(ListenerTest, ContinueIsSentWhenExpected) {
   tcp::socket socket = Connect();
   asio::write(socket,
               asio::buffer(std::string(
                   "POST /a HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\n"
                   "Connection: close\r\nContent-Length: 3\r\n\r\n")));
-  std::string go_ahead(25, ' ');
-  asio::read(socket, asio::buffer(go_ahead));
-  EXPECT_EQ(go_ahead, "HTTP/1.1 100 Continue\r\n\r\n");
+  std::string interim(25, ' ');
+  asio::read(socket, asio::buffer(interim));
+  EXPECT_EQ(interim, "HTTP/1.1 100 Continue\r\n\r\n");
   asio::write(socket, asio::buffer(std::string("xyz")));
   EXPECT_NE(ReadAll(socket).find("/a|xyz"), std::string::npos);
 }
 
-// Connections that never finish their header hold a descriptor each: they are
-// closed when their time is over.
+// Connections that never complete their header occupy a file descriptor each.
+// They are closed when the header timeout expires.
 TEST_F(ListenerTest, UnfinishedHeadersAreClosed) {
   std::vector<tcp::socket> sockets;
   for (int i = 0; i < 50; ++i) {
@@ -185,9 +187,9 @@
   }
 }
 
-// A caller closes its connection before it has its answer: the work for it
-// ends, so that the endpoint behind is given up too.
-TEST_F(ListenerTest, CallerGoneEndsTheHandler) {
+// A caller closes its connection before it receives its answer. The handler is
+// cancelled, so that the request at the endpoint is cancelled too.
+TEST_F(ListenerTest, DisconnectedCallerCancelsTheHandler) {
   {
     tcp::socket socket = Connect();
     asio::write(
@@ -196,7 +198,7 @@
     while (InFlight() == 0) std::this_thread::yield();
   }
   while (InFlight() > 0) std::this_thread::yield();
-  EXPECT_TRUE(is_over_);
+  EXPECT_TRUE(is_finished_);
 }
 
 }  // namespace
--- a/tests/unit/net/second_answer_test.cc
+++ b/tests/unit/net/second_answer_test.cc
@@ -1,6 +1,6 @@
-// Calls to servers that answer twice: early, late, to nobody, cut, without a
-// length, over connections that are used again. A call gets its own whole
-// answer or none.
+// Tests calls to servers that answer twice: early, late, without a request id,
+// cut off, without a length, over reused connections. A call must return
+// its own complete answer or none.
 
 #include <gtest/gtest.h>
 
@@ -24,11 +24,11 @@
 using core::milliseconds;
 
 constexpr int kCalls = 3;
-// A call that failed is made again; the failure closed its connection.
-constexpr int kTries = 3;
-// Longer than any request is at work.
+// A failed call is retried; the failure has closed its connection.
+constexpr int kMaxAttempts = 3;
+// Time limit of a call in addition to the time that the server works on it.
 constexpr milliseconds kSlack{300};
-constexpr milliseconds kLimit{60000};
+constexpr milliseconds kTestTimeout{60000};
 constexpr char kIdHeader[] = "X-Request-Id";
 
 std::string OwnAnswer(const request& input, int count, bool is_second) {
@@ -41,10 +41,10 @@
 struct series {
   stutter script;
   bool repeats_id = false;  // all calls have the same id
-  bool waits = false;       // until the second answer lies in the connection
+  bool waits = false;       // until the second answer has arrived
   int answered = 0;
   std::vector<std::string> wrong;
-  bool is_over = false;
+  bool is_finished = false;
 };
 
 awaitable<void> MakeCalls(io_context& loop, series& self) {
@@ -55,7 +55,7 @@
     const std::string id = self.repeats_id ? "r" : "r" + std::to_string(i);
     input.target = "/" + std::to_string(i);
     input.headers = {{kIdHeader, id}};
-    for (int attempt = 0; attempt < kTries; ++attempt) {
+    for (int attempt = 0; attempt < kMaxAttempts; ++attempt) {
       call_options options;
       options.deadline =
           std::chrono::steady_clock::now() + self.script.work + kSlack;
@@ -73,7 +73,7 @@
       co_await Sleep(self.script.delay + milliseconds(20));
     }
   }
-  self.is_over = true;
+  self.is_finished = true;
 }
 
 std::string Describe(const series& self) {
@@ -83,7 +83,7 @@
   return text.str();
 }
 
-// Guards against a second answer that is taken for the answer to the next
+// Guards against a second answer that is accepted as the answer to the next
 // request of its connection.
 TEST(SecondAnswerTest, CallsGetTheirOwnAnswerOrNone) {
   io_context loop;
@@ -95,16 +95,16 @@
       }
     }
   }
-  size_t over = 0;
+  size_t finished = 0;
   for (series& one : all) {
     boost::asio::co_spawn(loop, MakeCalls(loop, one),
-                          [&loop, &over, &all](const std::exception_ptr&) {
-                            if (++over == all.size()) loop.stop();
+                          [&loop, &finished, &all](const std::exception_ptr&) {
+                            if (++finished == all.size()) loop.stop();
                           });
   }
-  loop.run_for(kLimit);
+  loop.run_for(kTestTimeout);
   for (const series& one : all) {
-    EXPECT_TRUE(one.is_over) << Describe(one);
+    EXPECT_TRUE(one.is_finished) << Describe(one);
     EXPECT_EQ(one.answered, kCalls) << Describe(one);
     for (const std::string& body : one.wrong) {
       ADD_FAILURE() << Describe(one) << ": " << body;
@@ -112,8 +112,8 @@
   }
 }
 
-// Makes calls one after the other and returns how many got their own answer,
-// and over how many connections.
+// Result of consecutive calls: the number of calls that returned their own
+// answer, and the number of connections.
 struct call_count {
   int answered = 0;
   int connections = 0;
@@ -132,7 +132,7 @@
       input.target = "/";
       if (!id.empty()) input.headers = {{kIdHeader, id}};
       call_options options;
-      options.deadline = std::chrono::steady_clock::now() + kLimit;
+      options.deadline = std::chrono::steady_clock::now() + kTestTimeout;
       options.connect_deadline = options.deadline;
       options.expected = {kIdHeader, id};
       const call_result result =
@@ -144,19 +144,20 @@
     loop.stop();
   };
   boost::asio::co_spawn(loop, call_all(), boost::asio::detached);
-  loop.run_for(kLimit);
+  loop.run_for(kTestTimeout);
   return count;
 }
 
-// Guards against a new connection for each call where answers prove whose they
-// are, and against reuse where they don't.
-TEST(SecondAnswerTest, ConnectionsAreReusedWhereAnswersNameTheirRequests) {
+// Guards against a new connection for each call when answers contain the id of
+// their request, and against reuse when they don't.
+TEST(SecondAnswerTest, ConnectionsAreReusedWhenAnswersContainTheRequestId) {
   stutter script;
   script.moment = second_moment::kNever;
   call_count count = CallSeveralTimes(script, {"a", "b", "c", "d"});
   EXPECT_EQ(count.answered, 4);
   EXPECT_EQ(count.connections, 1);
-  // A second answer to the first "a" would name the last one too.
+  // A second answer to the first "a" would contain the id of the second "a"
+  // too.
   count = CallSeveralTimes(script, {"a", "b", "a", "b"});
   EXPECT_EQ(count.answered, 4);
   EXPECT_EQ(count.connections, 2);
@@ -173,9 +174,9 @@
   EXPECT_EQ(count.connections, 3);
 }
 
-// Guards against an interim answer that is taken for the answer, which then
-// waits in the connection for the next request.
-TEST(SecondAnswerTest, InterimAnswersArePassedOver) {
+// Guards against an interim answer that is accepted as the final answer; the
+// final answer would then be read as the answer to the next request.
+TEST(SecondAnswerTest, InterimAnswersAreSkipped) {
   stutter script;
   script.moment = second_moment::kNever;
   script.sends_interim = true;
