--- a/packages/controller/control_api.cc
+++ b/packages/controller/control_api.cc
@@ -16,7 +16,7 @@
 using peering::envelope;
 
 constexpr milliseconds kRetryAfter{200};
-// The operators' own paths, the same on every platform.
+// Part of the native operator API: the path is the same on every platform.
 constexpr std::string_view kQuarantinePath = "/hickory/v1/quarantine";
 constexpr int kNotFound = 404;
 
@@ -67,8 +67,8 @@
   if (input.method == "GET" && path == kQuarantinePath) {
     co_return co_await ListQuarantine();
   }
-  const bool names_one = path.size() > kQuarantinePath.size() + 1;
-  if (input.method != "DELETE" || !names_one) {
+  const bool has_digest = path.size() > kQuarantinePath.size() + 1;
+  if (input.method != "DELETE" || !has_digest) {
     co_return wire_.EncodeFailure(kNotFound, "no such path", std::nullopt);
   }
   const std::string digest(path.substr(kQuarantinePath.size() + 1));
@@ -86,8 +86,8 @@
     co_return wire_.EncodeFailure(bad->status, bad->reason, std::nullopt);
   }
   if (auto* beat = std::get_if<fleet::announce_call>(&call)) {
-    const envelope told = co_await heartbeats_.Tell(std::move(beat->input));
-    if (told.outcome != call_outcome::kDone) co_return FailureOf(told);
+    const envelope reply = co_await heartbeats_.Forward(std::move(beat->input));
+    if (reply.outcome != call_outcome::kDone) co_return FailureOf(reply);
     co_return wire_.EncodeAcknowledgement("");
   }
   if (auto* leave = std::get_if<fleet::leave_call>(&call)) {
--- a/packages/controller/heartbeat_memory.cc
+++ b/packages/controller/heartbeat_memory.cc
@@ -3,79 +3,84 @@
 namespace hickorywood::controller {
 namespace {
 
-// Without an answer of the leader for this long, an acknowledgement here would
-// promise what nobody knows: the endpoint shall go on to another instance. Some
-// times the period in which refreshes are told, and below the time after which
-// an endpoint counts as silent.
-constexpr std::chrono::milliseconds kTrustedFor{1500};
-// An endpoint that reports elsewhere now is no business of this instance.
-constexpr std::chrono::seconds kRemembered{60};
+// Without a reply of the leader for this long, this instance may be
+// disconnected and does not acknowledge heartbeats by itself, so that the
+// endpoint switches to another instance. Several times the period of the
+// refreshes, and below the time after which an endpoint is unresponsive.
+constexpr std::chrono::milliseconds kLeaderContactTimeout{1500};
+// After this time without a heartbeat, the endpoint is taken to report to
+// another instance.
+constexpr std::chrono::seconds kEntryLifetime{60};
 
-// Equal but for the sequence.
-bool SaysTheSame(const fleet::heartbeat& left, fleet::heartbeat right) {
+bool EqualsExceptSequence(const fleet::heartbeat& left,
+                          fleet::heartbeat right) {
   right.sequence = left.sequence;
   return left == right;
 }
 
 }  // namespace
 
-bool TakeIfKnown(heartbeat_memory& memory, const fleet::heartbeat& input,
-                 core::time_point now) {
-  const bool is_trusted = memory.in_touch_at != core::time_point::min() &&
-                          now - memory.in_touch_at < kTrustedFor;
-  if (!is_trusted) return false;
+bool AcceptIfUnchanged(heartbeat_memory& cache, const fleet::heartbeat& input,
+                       core::time_point now) {
+  const bool is_leader_reachable =
+      cache.last_reply_at != core::time_point::min() &&
+      now - cache.last_reply_at < kLeaderContactTimeout;
+  if (!is_leader_reachable) return false;
   const std::string incarnation =
       fleet::IncarnationOf(input.name, input.started_ms);
-  const auto found = memory.taken.find(incarnation);
-  if (found == memory.taken.end()) return false;
+  const auto found = cache.accepted.find(incarnation);
+  if (found == cache.accepted.end()) return false;
   fleet::heartbeat& latest = found->second.latest;
-  // An older one may have been overtaken by one that says something else.
+  // An older heartbeat may differ from a later one that overtook it; the leader
+  // decides.
   const bool is_next = input.sequence > latest.sequence;
-  if (!is_next || !SaysTheSame(latest, input)) return false;
+  if (!is_next || !EqualsExceptSequence(latest, input)) return false;
   latest.sequence = input.sequence;
-  found->second.heard_at = now;
-  memory.refreshes[incarnation] = input.sequence;
+  found->second.received_at = now;
+  cache.refreshes[incarnation] = input.sequence;
   return true;
 }
 
-std::vector<fleet::heartbeat_refresh> TakeRefreshes(heartbeat_memory& memory) {
+std::vector<fleet::heartbeat_refresh> ExtractRefreshes(
+    heartbeat_memory& cache) {
   std::vector<fleet::heartbeat_refresh> list;
-  list.reserve(memory.refreshes.size());
-  for (const auto& [incarnation, sequence] : memory.refreshes) {
+  list.reserve(cache.refreshes.size());
+  for (const auto& [incarnation, sequence] : cache.refreshes) {
     list.push_back({incarnation, sequence});
   }
-  memory.refreshes.clear();
+  cache.refreshes.clear();
   return list;
 }
 
-void NoteAnswer(heartbeat_memory& memory, const heartbeat_batch& batch,
-                const heartbeat_batch_answer& answer, core::time_point now) {
-  // An answer of a leader before the present one.
-  if (answer.term < memory.term) return;
-  memory.in_touch_at = now;
-  if (answer.term > memory.term) {
-    // A new leader has not heard what the one before took.
-    memory.taken.clear();
-    memory.refreshes.clear();
-    memory.term = answer.term;
+void ApplyBatchAnswer(heartbeat_memory& cache, const heartbeat_batch& batch,
+                      const heartbeat_batch_answer& answer,
+                      core::time_point now) {
+  // A late reply of a previous leader.
+  if (answer.term < cache.term) return;
+  cache.last_reply_at = now;
+  if (answer.term > cache.term) {
+    // A new leader has not received what the previous one accepted.
+    cache.accepted.clear();
+    cache.refreshes.clear();
+    cache.term = answer.term;
   }
   for (size_t i = 0; i < batch.heartbeats.size(); ++i) {
-    const bool is_taken =
+    const bool is_accepted =
         i < answer.refusals.size() && answer.refusals[i].empty();
-    if (!is_taken) continue;
+    if (!is_accepted) continue;
     const fleet::heartbeat& item = batch.heartbeats[i];
     auto& known =
-        memory.taken[fleet::IncarnationOf(item.name, item.started_ms)];
+        cache.accepted[fleet::IncarnationOf(item.name, item.started_ms)];
     if (item.sequence >= known.latest.sequence) known = {item, now};
   }
   for (const std::string& incarnation : answer.unknown) {
-    memory.taken.erase(incarnation);
+    cache.accepted.erase(incarnation);
   }
 }
 
-void ForgetOld(heartbeat_memory& memory, core::time_point now) {
-  std::erase_if(memory.taken, [now](const auto& item) {
-    return now - item.second.heard_at > kRemembered;
+void EvictExpired(heartbeat_memory& cache, core::time_point now) {
+  std::erase_if(cache.accepted, [now](const auto& item) {
+    return now - item.second.received_at > kEntryLifetime;
   });
 }
 
--- a/packages/controller/heartbeat_memory.h
+++ b/packages/controller/heartbeat_memory.h
@@ -1,11 +1,11 @@
 #ifndef HICKORYWOOD_CONTROLLER_HEARTBEAT_MEMORY_H_
 #define HICKORYWOOD_CONTROLLER_HEARTBEAT_MEMORY_H_
 
-// What a control instance remembers of the heartbeats that the leader took
-// through it. One that says nothing new is acknowledged at once and told to the
-// leader in a sum with others: 3,000 endpoints send 2,500 heartbeats a second,
-// and each forwarded by itself costs the leader a call. Plain data and
-// functions.
+// The heartbeats that the leader accepted through this control instance. A
+// heartbeat that changes nothing but its sequence is acknowledged at once, and
+// the leader receives it in a batch of refreshes: 3,000 endpoints send 2,500
+// heartbeats a second, and forwarding each of them costs the leader one call
+// each. Plain data and functions.
 
 #include <cstdint>
 #include <map>
@@ -18,7 +18,7 @@
 
 namespace hickorywood::controller {
 
-// What an instance tells the leader in one call.
+// The heartbeats that an instance sends to the leader in one call.
 struct heartbeat_batch {
   std::vector<fleet::heartbeat> heartbeats;
   std::vector<fleet::heartbeat_refresh> refreshes;
@@ -28,39 +28,42 @@
 
 struct heartbeat_batch_answer {
   uint64_t term = 0;                  // of the leader
-  std::vector<std::string> refusals;  // by heartbeat; empty: taken
-  std::vector<std::string> unknown;   // incarnations that were refreshed
+  std::vector<std::string> refusals;  // by heartbeat; empty: accepted
+  std::vector<std::string> unknown;   // refreshed but not listed incarnations
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(heartbeat_batch_answer, term,
                                                 refusals, unknown)
 
 struct heartbeat_memory {
-  uint64_t term = 0;  // of the leader that took all that is held
-  // When the leader last answered.
-  core::time_point in_touch_at = core::time_point::min();
-  struct known_heartbeat {
+  uint64_t term = 0;  // of the leader that accepted all entries
+  // When the leader last replied; min(): never.
+  core::time_point last_reply_at = core::time_point::min();
+  struct accepted_heartbeat {
     fleet::heartbeat latest;
-    core::time_point heard_at{};
+    core::time_point received_at{};
   };
-  std::map<std::string, known_heartbeat> taken;  // by incarnation
-  // Latest sequences that the leader was not told yet, by incarnation.
+  std::map<std::string, accepted_heartbeat> accepted;  // by incarnation
+  // The sequences that are to be sent to the leader as refreshes, by
+  // incarnation.
   std::map<std::string, uint64_t> refreshes;
 };
 
-// Takes a heartbeat that says nothing new, while the leader is in touch. False:
-// it must be told whole.
-bool TakeIfKnown(heartbeat_memory& memory, const fleet::heartbeat& input,
-                 core::time_point now);
+// Accepts a heartbeat that equals the latest one but for a higher sequence,
+// provided that the leader replied recently. Returns false when the heartbeat
+// must be sent to the leader.
+bool AcceptIfUnchanged(heartbeat_memory& cache, const fleet::heartbeat& input,
+                       core::time_point now);
 
-// The refreshes to be told, which count as told from here on.
-std::vector<fleet::heartbeat_refresh> TakeRefreshes(heartbeat_memory& memory);
+// Removes the pending refreshes and returns them.
+std::vector<fleet::heartbeat_refresh> ExtractRefreshes(heartbeat_memory& cache);
 
-// Takes the leader's answer to a batch.
-void NoteAnswer(heartbeat_memory& memory, const heartbeat_batch& batch,
-                const heartbeat_batch_answer& answer, core::time_point now);
+// Updates the entries from the leader's reply to a batch.
+void ApplyBatchAnswer(heartbeat_memory& cache, const heartbeat_batch& batch,
+                      const heartbeat_batch_answer& answer,
+                      core::time_point now);
 
-// Forgets endpoints that have not been heard here for long.
-void ForgetOld(heartbeat_memory& memory, core::time_point now);
+// Removes endpoints that have sent no heartbeat to this instance for a while.
+void EvictExpired(heartbeat_memory& cache, core::time_point now);
 
 }  // namespace hickorywood::controller
 
--- a/packages/controller/heartbeat_relay.cc
+++ b/packages/controller/heartbeat_relay.cc
@@ -17,15 +17,17 @@
 using peering::call_outcome;
 using peering::envelope;
 
-// Between two calls: a hundred a second at most, however many heartbeats come
-// in, and nothing against the second that an endpoint waits for its answer.
-constexpr milliseconds kGatherTime{10};
-// How long a refresh may wait: some of it fit into a heartbeat's period, so
-// that an endpoint is never thought silent for want of one.
+// Pause between two calls to the leader. It limits them to a hundred a second
+// for any number of heartbeats, and is short against the second that an
+// endpoint waits for its response.
+constexpr milliseconds kBatchPeriod{10};
+// The longest time that a refresh waits here. Several such periods fit into the
+// period of the heartbeats, so that no endpoint becomes unresponsive because of
+// a delayed refresh.
 constexpr milliseconds kRefreshPeriod{300};
-// Heartbeats that wait here at once. Beyond it, whoever comes is sent on to
-// another instance: it would wait for more than a second.
-constexpr size_t kMostWaiting = 2000;
+// Capacity of the queue. A heartbeat beyond it would wait for more than a
+// second, so its endpoint is sent to another instance.
+constexpr size_t kMaxQueuedHeartbeats = 2000;
 
 }  // namespace
 
@@ -38,75 +40,76 @@
   asio::co_spawn(loop_, KeepTelling(), asio::detached);
 }
 
-awaitable<envelope> heartbeat_relay::Tell(fleet::heartbeat input) {
+awaitable<envelope> heartbeat_relay::Forward(fleet::heartbeat input) {
   envelope answer;
-  if (TakeIfKnown(memory_, input, clock_.Now())) {
-    if (memory_.refreshes.size() == 1) filled_.Notify();
+  if (AcceptIfUnchanged(cache_, input, clock_.Now())) {
+    if (cache_.refreshes.size() == 1) filled_.Notify();
     answer.outcome = call_outcome::kDone;
     co_return answer;
   }
-  if (queue_.size() >= kMostWaiting) {
-    answer.reason = "too many heartbeats wait here";
+  if (queue_.size() >= kMaxQueuedHeartbeats) {
+    answer.reason = "the heartbeat queue of this instance is full";
     co_return answer;
   }
-  const net::one_shot<envelope> end;
-  queue_.push_back({std::move(input), end});
+  const net::one_shot<envelope> reply;
+  queue_.push_back({std::move(input), reply});
   filled_.Notify();
-  const auto told = co_await end.WaitUntil(clock_.Now() + kPatience);
-  if (told) co_return *told;
+  const auto result = co_await reply.WaitUntil(clock_.Now() + kPatience);
+  if (result) co_return *result;
   answer.outcome = call_outcome::kUnknown;
-  answer.reason = "the leader gave no answer";
+  answer.reason = "the leader did not reply in time";
   co_return answer;
 }
 
 bool heartbeat_relay::IsRefreshDue() const {
-  return !memory_.refreshes.empty() &&
+  return !cache_.refreshes.empty() &&
          clock_.Now() >= refreshed_at_ + kRefreshPeriod;
 }
 
 awaitable<void> heartbeat_relay::KeepTelling() {
   for (;;) {
     if (queue_.empty() && !IsRefreshDue()) {
-      co_await filled_.WaitUntil(memory_.refreshes.empty()
+      co_await filled_.WaitUntil(cache_.refreshes.empty()
                                      ? time_point::max()
                                      : refreshed_at_ + kRefreshPeriod);
       continue;
     }
     asio::co_spawn(loop_, Send(std::move(queue_)), asio::detached);
     queue_.clear();
-    co_await net::Sleep(kGatherTime);
+    co_await net::Sleep(kBatchPeriod);
   }
 }
 
-// What can't be told is not kept: the endpoints go on to another instance, or
-// report again soon.
+// A batch that the leader did not accept is not retried: its endpoints switch
+// to another instance or send their next heartbeat soon.
 awaitable<void> heartbeat_relay::Send(std::vector<waiting_heartbeat> waiting) {
   heartbeat_batch batch;
   for (const waiting_heartbeat& item : waiting) {
     batch.heartbeats.push_back(item.input);
   }
-  batch.refreshes = TakeRefreshes(memory_);
+  batch.refreshes = ExtractRefreshes(cache_);
   refreshed_at_ = clock_.Now();
   envelope answer = co_await caller_.Ask(peering::kHeartbeatsMethod,
                                          core::EncodeBinary(batch),
                                          clock_.Now() + kPatience, kOneTry);
-  auto taken = answer.outcome == call_outcome::kDone
-                   ? core::DecodeBinary<heartbeat_batch_answer>(answer.payload)
-                   : std::optional<heartbeat_batch_answer>();
-  if (taken) {
-    NoteAnswer(memory_, batch, *taken, clock_.Now());
-    ForgetOld(memory_, clock_.Now());
-    taken->refusals.resize(waiting.size());
+  auto batch_answer =
+      answer.outcome == call_outcome::kDone
+          ? core::DecodeBinary<heartbeat_batch_answer>(answer.payload)
+          : std::optional<heartbeat_batch_answer>();
+  if (batch_answer) {
+    ApplyBatchAnswer(cache_, batch, *batch_answer, clock_.Now());
+    EvictExpired(cache_, clock_.Now());
+    batch_answer->refusals.resize(waiting.size());
   }
   for (size_t i = 0; i < waiting.size(); ++i) {
     envelope each;
     each.outcome = answer.outcome;
     each.reason = answer.reason;
-    if (taken && !taken->refusals[i].empty()) {
+    if (batch_answer && !batch_answer->refusals[i].empty()) {
       each.outcome = call_outcome::kRefused;
-      each.reason = taken->refusals[i];
+      each.reason = batch_answer->refusals[i];
     }
-    waiting[i].end.Set(std::move(each));
+    waiting[i].reply.Set(std::move(each));
   }
 }
 
--- a/packages/controller/heartbeat_relay.h
+++ b/packages/controller/heartbeat_relay.h
@@ -1,7 +1,7 @@
 #ifndef HICKORYWOOD_CONTROLLER_HEARTBEAT_RELAY_H_
 #define HICKORYWOOD_CONTROLLER_HEARTBEAT_RELAY_H_
 
-// Brings the heartbeats that come in at this instance to the control leader,
+// Forwards the heartbeats that this instance receives to the control leader,
 // several in one call.
 
 #include <boost/asio/awaitable.hpp>
@@ -24,13 +24,14 @@
                   peering::leader_caller& caller);
 
   void Start();
-  // kDone once the leader has taken it, or at once where it says nothing new.
-  boost::asio::awaitable<peering::envelope> Tell(fleet::heartbeat input);
+  // Returns kDone once the leader has accepted the heartbeat, or at once if it
+  // only refreshes one that the leader accepted before.
+  boost::asio::awaitable<peering::envelope> Forward(fleet::heartbeat input);
 
  private:
   struct waiting_heartbeat {
     fleet::heartbeat input;
-    net::one_shot<peering::envelope> end;
+    net::one_shot<peering::envelope> reply;
   };
 
   boost::asio::awaitable<void> KeepTelling();
@@ -40,7 +41,7 @@
   boost::asio::io_context& loop_;
   const core::runtime_clock& clock_;
   peering::leader_caller& caller_;
-  heartbeat_memory memory_;
+  heartbeat_memory cache_;
   std::vector<waiting_heartbeat> queue_;
   core::time_point refreshed_at_{};
   net::event filled_;
--- a/tests/unit/controller/heartbeat_relay_test.cc
+++ b/tests/unit/controller/heartbeat_relay_test.cc
@@ -26,104 +26,108 @@
   return beat;
 }
 
-// A memory whose leader of `term` took the first heartbeat of endpoint 1.
-heartbeat_memory MakeMemory(uint64_t term = 1) {
-  heartbeat_memory memory;
+// Returns a cache whose leader of `term` accepted the first heartbeat of
+// endpoint 1.
+heartbeat_memory MakeCache(uint64_t term = 1) {
+  heartbeat_memory cache;
   heartbeat_batch batch;
   batch.heartbeats = {MakeHeartbeat(1, 5)};
   heartbeat_batch_answer answer;
   answer.term = term;
   answer.refusals = {""};
-  NoteAnswer(memory, batch, answer, kStart);
-  return memory;
+  ApplyBatchAnswer(cache, batch, answer, kStart);
+  return cache;
 }
 
-TEST(HeartbeatMemoryTest, WhatSaysNothingNewIsTakenHere) {
-  heartbeat_memory memory = MakeMemory();
-  EXPECT_TRUE(TakeIfKnown(memory, MakeHeartbeat(1, 6), kStart));
-  EXPECT_TRUE(TakeIfKnown(memory, MakeHeartbeat(1, 7), kStart));
-  const auto refreshes = TakeRefreshes(memory);
+TEST(HeartbeatMemoryTest, UnchangedHeartbeatIsAcceptedLocally) {
+  heartbeat_memory cache = MakeCache();
+  EXPECT_TRUE(AcceptIfUnchanged(cache, MakeHeartbeat(1, 6), kStart));
+  EXPECT_TRUE(AcceptIfUnchanged(cache, MakeHeartbeat(1, 7), kStart));
+  const auto refreshes = ExtractRefreshes(cache);
   ASSERT_EQ(refreshes.size(), 1U);
   EXPECT_EQ(refreshes[0].sequence, 7U);
-  EXPECT_TRUE(TakeRefreshes(memory).empty());
+  EXPECT_TRUE(ExtractRefreshes(cache).empty());
 }
 
-// An endpoint says that it is leaving. It is told so only once the leader has
-// it, or entries would go on sending to it after the acknowledgement.
-TEST(HeartbeatMemoryTest, NewsIsToldWhole) {
-  heartbeat_memory memory = MakeMemory();
+// Guards against acknowledging a draining endpoint before the leader has
+// received the heartbeat: entries would still send requests to it.
+TEST(HeartbeatMemoryTest, ChangedHeartbeatIsSentToTheLeader) {
+  heartbeat_memory cache = MakeCache();
   fleet::heartbeat leaving = MakeHeartbeat(1, 6);
   leaving.is_draining = true;
-  EXPECT_FALSE(TakeIfKnown(memory, leaving, kStart));
+  EXPECT_FALSE(AcceptIfUnchanged(cache, leaving, kStart));
   fleet::heartbeat loaded = MakeHeartbeat(1, 6);
   loaded.models = {{"m", 2}};
-  EXPECT_FALSE(TakeIfKnown(memory, loaded, kStart));
-  EXPECT_FALSE(TakeIfKnown(memory, MakeHeartbeat(2, 1), kStart));
+  EXPECT_FALSE(AcceptIfUnchanged(cache, loaded, kStart));
+  EXPECT_FALSE(AcceptIfUnchanged(cache, MakeHeartbeat(2, 1), kStart));
 }
 
-// A heartbeat was held up on the way and comes in after later ones.
-TEST(HeartbeatMemoryTest, OlderOnesAreTheLeadersToJudge) {
-  heartbeat_memory memory = MakeMemory();
-  EXPECT_FALSE(TakeIfKnown(memory, MakeHeartbeat(1, 5), kStart));
-  EXPECT_FALSE(TakeIfKnown(memory, MakeHeartbeat(1, 4), kStart));
+// A heartbeat was delayed in transit and arrives after later ones.
+TEST(HeartbeatMemoryTest, OlderHeartbeatIsSentToTheLeader) {
+  heartbeat_memory cache = MakeCache();
+  EXPECT_FALSE(AcceptIfUnchanged(cache, MakeHeartbeat(1, 5), kStart));
+  EXPECT_FALSE(AcceptIfUnchanged(cache, MakeHeartbeat(1, 4), kStart));
 }
 
-// This instance is cut off from the leader, or was frozen. What it acknowledged
-// then would reach nobody, and a live endpoint would be thought silent.
-TEST(HeartbeatMemoryTest, NothingIsTakenOutOfTouch) {
-  heartbeat_memory memory = MakeMemory();
-  EXPECT_FALSE(TakeIfKnown(memory, MakeHeartbeat(1, 6), kStart + seconds(2)));
+// This instance is disconnected from the leader, or its process was suspended.
+// Heartbeats that it acknowledged then would not reach the leader, which would
+// mark a live endpoint as unresponsive.
+TEST(HeartbeatMemoryTest, NothingIsAcceptedWithoutLeaderContact) {
+  heartbeat_memory cache = MakeCache();
+  EXPECT_FALSE(
+      AcceptIfUnchanged(cache, MakeHeartbeat(1, 6), kStart + seconds(2)));
 }
 
-// The leader is lost. Its successor knows the weights of no engine until it has
-// heard whole heartbeats.
-TEST(HeartbeatMemoryTest, ANewLeaderHearsAllWhole) {
-  heartbeat_memory memory = MakeMemory(1);
-  ASSERT_TRUE(TakeIfKnown(memory, MakeHeartbeat(1, 6), kStart));
+// The leader crashes. Its successor has no weight versions of any engine until
+// it receives complete heartbeats.
+TEST(HeartbeatMemoryTest, NewLeaderReceivesCompleteHeartbeats) {
+  heartbeat_memory cache = MakeCache(1);
+  ASSERT_TRUE(AcceptIfUnchanged(cache, MakeHeartbeat(1, 6), kStart));
   heartbeat_batch_answer answer;
   answer.term = 2;
-  NoteAnswer(memory, {}, answer, kStart);
-  EXPECT_FALSE(TakeIfKnown(memory, MakeHeartbeat(1, 7), kStart));
-  // A late answer of the old one changes nothing.
+  ApplyBatchAnswer(cache, {}, answer, kStart);
+  EXPECT_FALSE(AcceptIfUnchanged(cache, MakeHeartbeat(1, 7), kStart));
+  // A late reply of the previous leader is ignored.
   heartbeat_batch batch;
   batch.heartbeats = {MakeHeartbeat(1, 8)};
   answer.term = 1;
   answer.refusals = {""};
-  NoteAnswer(memory, batch, answer, kStart);
-  EXPECT_FALSE(TakeIfKnown(memory, MakeHeartbeat(1, 9), kStart));
+  ApplyBatchAnswer(cache, batch, answer, kStart);
+  EXPECT_FALSE(AcceptIfUnchanged(cache, MakeHeartbeat(1, 9), kStart));
 }
 
-// The leader has taken the endpoint off its list, since another one has its
-// address now.
-TEST(HeartbeatMemoryTest, WhatTheLeaderDoesNotKnowIsToldWhole) {
-  heartbeat_memory memory = MakeMemory();
+// The leader has removed the endpoint, since another endpoint has its address
+// now.
+TEST(HeartbeatMemoryTest, UnknownIncarnationIsSentCompletely) {
+  heartbeat_memory cache = MakeCache();
   heartbeat_batch_answer answer;
   answer.term = 1;
   answer.unknown = {"i-1"};
-  NoteAnswer(memory, {}, answer, kStart);
-  EXPECT_FALSE(TakeIfKnown(memory, MakeHeartbeat(1, 6), kStart));
+  ApplyBatchAnswer(cache, {}, answer, kStart);
+  EXPECT_FALSE(AcceptIfUnchanged(cache, MakeHeartbeat(1, 6), kStart));
 }
 
-TEST(HeartbeatMemoryTest, RefusedOnesAreNotRemembered) {
-  heartbeat_memory memory;
+TEST(HeartbeatMemoryTest, RejectedHeartbeatIsNotCached) {
+  heartbeat_memory cache;
   heartbeat_batch batch;
   batch.heartbeats = {MakeHeartbeat(1, 1)};
   heartbeat_batch_answer answer;
   answer.term = 1;
   answer.refusals = {"no such service"};
-  NoteAnswer(memory, batch, answer, kStart);
-  EXPECT_FALSE(TakeIfKnown(memory, MakeHeartbeat(1, 2), kStart));
+  ApplyBatchAnswer(cache, batch, answer, kStart);
+  EXPECT_FALSE(AcceptIfUnchanged(cache, MakeHeartbeat(1, 2), kStart));
 }
 
-TEST(HeartbeatMemoryTest, EndpointsThatReportElsewhereAreForgotten) {
-  heartbeat_memory memory = MakeMemory();
-  ForgetOld(memory, kStart + seconds(30));
-  EXPECT_EQ(memory.taken.size(), 1U);
-  ForgetOld(memory, kStart + seconds(61));
-  EXPECT_TRUE(memory.taken.empty());
+TEST(HeartbeatMemoryTest, EndpointsOfOtherInstancesAreEvicted) {
+  heartbeat_memory cache = MakeCache();
+  EvictExpired(cache, kStart + seconds(30));
+  EXPECT_EQ(cache.accepted.size(), 1U);
+  EvictExpired(cache, kStart + seconds(61));
+  EXPECT_TRUE(cache.accepted.empty());
 }
 
-// A leader that counts what reaches it.
+// Runs a local leader that counts the calls, heartbeats and refreshes that it
+// receives.
 class HeartbeatRelayTest : public ::testing::Test {
  protected:
   HeartbeatRelayTest()
@@ -148,11 +152,11 @@
     relay.Start();
   }
 
-  // Sends one of each endpoint and waits until all are answered.
+  // Sends a heartbeat of each endpoint and waits until all are acknowledged.
   void Report(int endpoints, uint64_t sequence) {
     int answered = 0;
     for (int i = 0; i < endpoints; ++i) {
-      boost::asio::co_spawn(loop, relay.Tell(MakeHeartbeat(i, sequence)),
+      boost::asio::co_spawn(loop, relay.Forward(MakeHeartbeat(i, sequence)),
                             [&answered](const std::exception_ptr& /*none*/,
                                         const peering::envelope& answer) {
                               EXPECT_EQ(answer.outcome,
@@ -173,9 +177,10 @@
   size_t refreshes = 0;
 };
 
-// A thousand endpoints report, and report again. The leader gets the first ones
-// in a few calls, and the others as one sum.
-TEST_F(HeartbeatRelayTest, ManyHeartbeatsAreFewCalls) {
+// A thousand endpoints send a first and a second heartbeat. The leader receives
+// the first ones in a few calls, and the second ones as refreshes in a few
+// calls.
+TEST_F(HeartbeatRelayTest, ManyHeartbeatsTakeFewCalls) {
   constexpr int kEndpoints = 1000;
   Report(kEndpoints, 1);
   EXPECT_EQ(heartbeats, static_cast<size_t>(kEndpoints));
