--- a/packages/controller/call_limits.h
+++ b/packages/controller/call_limits.h
@@ -1,16 +1,18 @@
 #ifndef HICKORYWOOD_CONTROLLER_CALL_LIMITS_H_
 #define HICKORYWOOD_CONTROLLER_CALL_LIMITS_H_
 
-// How long a call from outside may take on its way to the leader.
+// Time limits for calls from outside on their way to the leader.
 
 #include <chrono>
 
 namespace hickorywood::controller {
 
-// Callers go on to another instance after a second without an answer; what they
-// get before that tells them more.
+// Callers switch to another instance when they get no response within a second.
+// This limit is shorter, so that they receive an error that says more than
+// their own timeout.
 constexpr std::chrono::milliseconds kPatience{850};
-// One try at a leader: a second one must fit, at the next leader.
+// Limit of one attempt. It leaves time for a second attempt, at the next
+// leader.
 constexpr std::chrono::milliseconds kOneTry{600};
 
 }  // namespace hickorywood::controller
--- a/packages/controller/control_api.h
+++ b/packages/controller/control_api.h
@@ -1,8 +1,8 @@
 #ifndef HICKORYWOOD_CONTROLLER_CONTROL_API_H_
 #define HICKORYWOOD_CONTROLLER_CONTROL_API_H_
 
-// The interface for operators, trainers and endpoints, at every control
-// instance. Calls go to the leader, wherever it is.
+// The API for operators, trainers and endpoints. Every control instance serves
+// it and forwards the calls to the leader.
 
 #include <boost/asio/awaitable.hpp>
 #include <string>
@@ -23,7 +23,7 @@
 
  private:
   boost::asio::awaitable<net::response> Answer(const net::request& input);
-  // Requests that are held back: listed, or one of them lifted.
+  // Lists the quarantined requests, or releases one of them.
   boost::asio::awaitable<net::response> AnswerQuarantine(
       const net::request& input);
   boost::asio::awaitable<net::response> ListQuarantine();
