--- a/packages/controller/control_state.cc
+++ b/packages/controller/control_state.cc
@@ -36,27 +36,27 @@
 
 void control_state::Apply(const group::hosted_command& input) {
   if (input.name == kPutConfigurationCommand) {
-    PutConfiguration(held_, input.payload);
+    PutConfiguration(content_, input.payload);
   } else if (input.name == kPublishVersionCommand) {
-    PublishVersion(held_, input.payload);
+    PublishVersion(content_, input.payload);
   } else if (input.name == kFoundDataGroupCommand) {
-    FoundDataGroup(held_, input.payload);
+    FoundDataGroup(content_, input.payload);
   } else if (input.name == kSetDigestKeyCommand) {
-    SetDigestKey(held_, input.payload);
+    SetDigestKey(content_, input.payload);
   }
 }
 
 bool control_state::Restore(const std::string& data) {
-  held_ = content{};
+  content_ = content{};
   if (data.empty()) return true;
   auto saved = core::DecodeBinary<content>(data);
   if (!saved) return false;
-  held_ = std::move(*saved);
+  content_ = std::move(*saved);
   return true;
 }
 
 consensus::saved_state control_state::Save(uint64_t applied) const {
-  return {applied, core::EncodeBinary(held_)};
+  return {applied, core::EncodeBinary(content_)};
 }
 
 }  // namespace hickorywood::controller
--- a/packages/controller/control_state.h
+++ b/packages/controller/control_state.h
@@ -1,7 +1,7 @@
 #ifndef HICKORYWOOD_CONTROLLER_CONTROL_STATE_H_
 #define HICKORYWOOD_CONTROLLER_CONTROL_STATE_H_
 
-// What the control group replicates for a deployment.
+// The state that the control group replicates for a deployment.
 
 #include <cstdint>
 #include <map>
@@ -21,7 +21,7 @@
 
 struct put_configuration_command {
   fleet::configuration config;
-  std::string text;  // as the operator sent it
+  std::string text;  // as received from the operator
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(put_configuration_command,
                                                 config, text)
@@ -39,23 +39,25 @@
 
 class control_state : public group::hosted_state {
  public:
-  // A configuration that is not newer, a version that is not higher, a second
-  // founder, a second key: nothing changes.
+  // Ignores a configuration that is not newer, a version that is not higher, a
+  // second founder and a second key.
   void Apply(const group::hosted_command& input) override;
   bool Restore(const std::string& data) override;
   consensus::saved_state Save(uint64_t applied) const override;
 
-  const fleet::configuration& Config() const { return held_.config; }
-  const std::string& ConfigText() const { return held_.config_text; }
-  // Newest published weights by model.
+  const fleet::configuration& Config() const { return content_.config; }
+  const std::string& ConfigText() const { return content_.config_text; }
+  // The newest published version of the weights, by model.
   const std::map<std::string, uint64_t>& Versions() const {
-    return held_.versions;
+    return content_.versions;
   }
-  // The store that founds the data group; empty: none was named yet.
-  const std::string& DataFounder() const { return held_.data_founder; }
-  // Under which requests are named to other instances; empty: none was drawn
-  // yet. Kept for good, so that a request has one name whoever leads.
-  const std::string& DigestKey() const { return held_.digest_key; }
+  // Peer address of the store that bootstraps the data group; empty: none was
+  // chosen yet.
+  const std::string& DataFounder() const { return content_.data_founder; }
+  // Key of the digests that identify requests to other instances; empty: none
+  // was generated yet. It never changes, so that a request has the same digest
+  // under every leader.
+  const std::string& DigestKey() const { return content_.digest_key; }
 
   struct content {
     fleet::configuration config;
@@ -66,7 +68,7 @@
   };
 
  private:
-  content held_;
+  content content_;
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(control_state::content, config,
                                                 config_text, versions,
