--- a/packages/controller/controller.cc
+++ b/packages/controller/controller.cc
@@ -26,20 +26,22 @@
 using core::LogEvent;
 using core::milliseconds;
 
-// Heartbeats that may be missed before an endpoint counts as silent, and a
-// second of delay.
-constexpr int kMissedHeartbeats = 3;
+// An endpoint is unresponsive after this many missed heartbeats, plus a second
+// for delays.
+constexpr int kMaxMissedHeartbeats = 3;
 constexpr std::chrono::seconds kHeartbeatDelay{1};
-// Callers come with new connections, one after the other: kept for longer,
-// those of 3,000 endpoints that report each second take more descriptors than
-// there are. One that reports over the same connection comes back in time.
+// Endpoints often open a new connection for each heartbeat. With a longer
+// timeout, the idle connections of 3,000 endpoints that report each second
+// exceed the limit on file descriptors. An endpoint that reuses its connection
+// sends the next heartbeat within this time.
 constexpr std::chrono::seconds kControlIdleTimeout{3};
-// Time for a hand-over to reach the successor before the listeners close.
-constexpr milliseconds kHandOverTime{300};
+// Time that the leadership transfer gets to reach the successor before the
+// listeners close.
+constexpr milliseconds kLeadershipTransferTime{300};
 
 constexpr char kGroupName[] = "control";
-// Voters of the control group: it bears the loss of two.
-constexpr size_t kWantedVoters = 5;
+// Voters of the control group. Five tolerate the loss of two.
+constexpr size_t kVoters = 5;
 
 weight_keeper_options KeeperOptions(const settings::node_settings& settings) {
   weight_keeper_options options;
@@ -64,9 +66,8 @@
         clock(runtime),
         settings(node),
         pool(io),
-        group(io, runtime,
-              group::MakeGroupSettings(node, kGroupName, kWantedVoters), pool,
-              state),
+        group(io, runtime, group::MakeGroupSettings(node, kGroupName, kVoters),
+              pool, state),
         stores_caller(pool, {}),
         service(io, runtime, group, state, registry, weights, stores_caller),
         keeper(io, runtime, group, state, pool, wire, registry, weights,
@@ -80,7 +81,7 @@
         control(io, ControlListenerOptions(node.control_address),
                 [this](net::exchange& call) { return api.Serve(call); }) {
     registry.options.silent_after =
-        node.endpoint_heartbeat * kMissedHeartbeats + kHeartbeatDelay;
+        node.endpoint_heartbeat * kMaxMissedHeartbeats + kHeartbeatDelay;
     caller.ServeLocally(
         node.peers_address, [this](std::string method, std::string payload) {
           return service.Handle(std::move(method), std::move(payload));
@@ -119,7 +120,8 @@
     group.SetContacts(settings.seeds);
   }
 
-  // Control instances to ask for admission: the seeds and those of the view.
+  // Control instances that can admit this one to the group: the seeds and those
+  // of the view.
   std::vector<std::string> Contacts() const {
     std::vector<std::string> contacts = settings.seeds;
     const std::vector<std::string>& known = follower.View().members.controllers;
@@ -141,7 +143,7 @@
   awaitable<void> Stop() {
     LogEvent(event_id::kProcessStopping, {{"instance", settings.id}});
     group.HandOver();
-    co_await net::Sleep(kHandOverTime);
+    co_await net::Sleep(kLeadershipTransferTime);
     control.BeginDrain();
     control.StopAccepting();
     peers.StopAccepting();
@@ -182,8 +184,8 @@
 bool controller::Start() {
   if (!impl_->peers.Start() || !impl_->control.Start()) return false;
   if (!impl_->group.Start()) return false;
-  // All instances got the same seeds at the first start, so they agree on the
-  // founder without talking.
+  // All instances get the same seeds at the first start, so they choose the
+  // same founder without communication.
   const settings::node_settings& settings = impl_->settings;
   const bool is_founder = settings.is_first_start && !settings.seeds.empty() &&
                           settings.seeds.front() == settings.peers_address;
--- a/packages/controller/controller.h
+++ b/packages/controller/controller.h
@@ -1,8 +1,8 @@
 #ifndef HICKORYWOOD_CONTROLLER_CONTROLLER_H_
 #define HICKORYWOOD_CONTROLLER_CONTROLLER_H_
 
-// A control instance: its replica of the control group and, while it leads,
-// views, endpoints, weights and the tasks of all steps.
+// A control instance: its replica of the control group and, while it leads, the
+// views, the endpoint registry, the weights and the crash records.
 
 #include <boost/asio/io_context.hpp>
 #include <memory>
@@ -22,14 +22,15 @@
   controller(const controller&) = delete;
   controller& operator=(const controller&) = delete;
 
-  // False with the reason when a listener or the data folder can't be used.
+  // Returns false, and sets the reason, when a listener or the data folder is
+  // unusable.
   bool Start();
-  // New settings: only the seeds can change in a running process.
+  // Applies new settings. Only the seeds can change in a running process.
   void Reload(const settings::node_settings& settings);
-  // Gives leadership away, finishes what is in flight, and stops the loop.
+  // Transfers leadership, finishes the requests in flight, and stops the loop.
   void BeginStop();
 
-  // Whether the disk failed, so that the exit code must say so.
+  // Whether the disk failed; the process then exits with a failure code.
   bool HasFailed() const;
 
   struct impl;
