--- a/packages/controller/leader_service.cc
+++ b/packages/controller/leader_service.cc
@@ -29,13 +29,13 @@
 using peering::envelope;
 
 constexpr milliseconds kHousePeriod{500};
-// A store that asked for no view for this long is left out of the list. It is
-// well above an election, so that a new leader does not forget any.
+// A store that requested no view for this long is removed from the list. Well
+// above the duration of an election, so that a new leader does not remove any.
 constexpr std::chrono::seconds kStoreLifetime{20};
-constexpr milliseconds kRetirePatience{700};
-// Time in which all who follow have found a new leader and told it which
-// requests are held back: a round of asking and one call.
-constexpr milliseconds kHearTime{300};
+constexpr milliseconds kRetireTimeout{700};
+// Time in which all followers find a new leader and send it their records of
+// quarantined requests: one round of requests and one call.
+constexpr milliseconds kWarningSyncTime{300};
 
 std::vector<fleet::engine_weights_entry> ListWeights(const weight_book& book) {
   std::vector<fleet::engine_weights_entry> list;
@@ -105,16 +105,14 @@
   if (method == peering::kLiftMethod) {
     co_return co_await Lift(std::move(payload));
   }
-  const bool is_about_store =
+  const bool is_retirement =
       method == peering::kRetireMethod || method == peering::kRetirementMethod;
-  if (is_about_store) {
+  if (is_retirement) {
     co_return co_await Retire(std::move(method), std::move(payload));
   }
-  co_return Refused("no method '" + method + "'");
+  co_return Refused("unknown method '" + method + "'");
 }
 
-// --- Views.
-
 view_sources leader_service::Sources() const {
   view_sources sources;
   sources.endpoints = [this] { return fleet::ListEndpoints(registry_); };
@@ -143,42 +141,45 @@
     views_.Interrupt();
     return;
   }
-  // Heartbeats reach a new leader only after a while; until then the endpoints
-  // that it knew as a follower go on being used.
+  // Heartbeats reach a new leader only after a while. Until then it uses the
+  // endpoints that it had as a follower.
   registry_.endpoints.clear();
   fleet::AdoptEndpoints(registry_, followed.endpoints, clock_.Now());
   stores_.clear();
   for (const fleet::store_entry& item : followed.members.stores) {
     stores_[item.instance] = {item.address, clock_.Now()};
   }
-  // Those that have seen more tell it again once they follow this leader.
+  // Processes with more records of crashes send them again once they follow
+  // this leader.
   crashes_ = {};
   for (const fleet::request_warning& item : followed.warnings) {
     quarantine::Adopt(crashes_, item, clock_.Now());
   }
-  // One that has followed no leader since it started knows of no quarantine.
+  // An instance that has followed no leader since it started has no records of
+  // quarantines.
   const bool has_followed = followed.version.term != 0;
   const bool is_first_start = state_.Config().version == 0;
   const bool is_complete = has_followed || is_first_start;
-  views_.BeginTerm(group_.Term(),
-                   clock_.Now() + (is_complete ? milliseconds(0) : kHearTime));
-  asio::co_spawn(loop_, DrawDigestKey(), asio::detached);
+  views_.BeginTerm(
+      group_.Term(),
+      clock_.Now() + (is_complete ? milliseconds(0) : kWarningSyncTime));
+  asio::co_spawn(loop_, CommitDigestKey(), asio::detached);
   if (on_endpoints) on_endpoints();
 }
 
 void leader_service::OnApplied() {
-  if (state_.Config().version != seen_config_) {
-    seen_config_ = state_.Config().version;
+  if (state_.Config().version != published_config_) {
+    published_config_ = state_.Config().version;
     views_.NoteConfiguration();
   }
   std::vector<std::string> members = group_.Members();
-  const bool is_same = state_.DataFounder() == seen_founder_ &&
-                       state_.DigestKey() == seen_key_ &&
-                       members == seen_members_;
+  const bool is_same = state_.DataFounder() == published_founder_ &&
+                       state_.DigestKey() == published_key_ &&
+                       members == published_members_;
   if (is_same) return;
-  seen_founder_ = state_.DataFounder();
-  seen_key_ = state_.DigestKey();
-  seen_members_ = std::move(members);
+  published_founder_ = state_.DataFounder();
+  published_key_ = state_.DigestKey();
+  published_members_ = std::move(members);
   views_.NoteMembers();
 }
 
@@ -197,14 +198,13 @@
     weights_.demands[item.model] = item.streams;
   }
   std::string update = co_await views_.Answer(*input);
-  // The lease may have run out while the answer was held back.
+  // The lease may have expired while the request waited for a change.
   if (!group_.IsServing()) co_return NotLeader();
   co_return Done(std::move(update));
 }
 
-// --- Endpoints.
-
-// Before the first configuration nobody can tell: it says which there are.
+// The configuration lists the services, so before the first one every service
+// is accepted.
 bool leader_service::IsKnownService(const std::string& name) const {
   const fleet::configuration& config = state_.Config();
   return config.version == 0 ||
@@ -228,20 +228,22 @@
   co_return Done(core::EncodeBinary(answer));
 }
 
-// The reason where it is refused; empty: it is taken.
+// Returns the reason for which the heartbeat is rejected; empty: it is
+// accepted.
 std::string leader_service::TakeHeartbeat(const fleet::heartbeat& input) {
   const std::string incarnation =
       fleet::IncarnationOf(input.name, input.started_ms);
   const bool is_new = registry_.endpoints.count(incarnation) == 0;
   if (is_new && !IsKnownService(input.service)) {
-    std::string reason = "no service is called '" + input.service + "'";
+    std::string reason = "unknown service '" + input.service + "'";
     LogEvent(event_id::kHeartbeatRefused,
              {{"endpoint", incarnation}, {"reason", reason}});
     return reason;
   }
   const bool is_changed = fleet::TakeHeartbeat(registry_, input, clock_.Now());
   bool is_newer = false;
-  // News of a start that is not the newest says nothing of this one's weights.
+  // A heartbeat of an older incarnation says nothing about the weights of the
+  // newest one.
   const bool is_listed = registry_.endpoints.count(incarnation) != 0;
   for (const fleet::model_version& item : input.models) {
     if (!is_listed) break;
@@ -273,8 +275,6 @@
   co_return Done();
 }
 
-// --- Configuration and weights.
-
 awaitable<envelope> leader_service::CommitCall(std::string name,
                                                std::string payload) {
   return group::CommitCall(group_, std::move(name), std::move(payload));
@@ -298,8 +298,9 @@
              {{"version", version}, {"held", std::to_string(held)}});
     co_return Done();
   }
-  // Entries serve from their first configuration on, and need the key by then.
-  co_await DrawDigestKey();
+  // Entries serve from the first configuration on, and need the digest key by
+  // then.
+  co_await CommitDigestKey();
   put_configuration_command command;
   command.config = std::move(input->config);
   command.text = std::move(input->text);
@@ -340,11 +341,9 @@
   co_return answer;
 }
 
-// --- Stores.
-
 void leader_service::NoteStore(const fleet::view_request& input) {
   if (input.address.empty()) return;
-  known_store& entry = stores_[input.instance];
+  store_record& entry = stores_[input.instance];
   const bool is_new = entry.address != input.address;
   entry = {input.address, clock_.Now()};
   if (is_new) {
@@ -352,23 +351,23 @@
              {{"instance", input.instance}, {"address", input.address}});
     views_.NoteMembers();
   }
-  // Exactly one store may found the data group, so the choice is committed.
+  // Exactly one store may bootstrap the data group, so the choice is committed.
   const bool is_needed = input.may_found && state_.DataFounder().empty() &&
-                         !is_founding_ && group_.IsSpread();
+                         !is_choosing_founder_ && group_.IsSpread();
   if (!is_needed) return;
-  is_founding_ = true;
+  is_choosing_founder_ = true;
   asio::co_spawn(
       loop_,
       CommitCall(kFoundDataGroupCommand,
                  core::EncodeBinary(found_data_group_command{input.address})),
       [this](const std::exception_ptr& /*failure*/,
-             const envelope& /*answer*/) { is_founding_ = false; });
+             const envelope& /*answer*/) { is_choosing_founder_ = false; });
 }
 
 void leader_service::ExpireStores() {
   const time_point now = clock_.Now();
   const size_t gone = std::erase_if(stores_, [now](const auto& item) {
-    return now - item.second.heard_at > kStoreLifetime;
+    return now - item.second.last_request_at > kStoreLifetime;
   });
   if (gone > 0) views_.NoteMembers();
 }
@@ -383,14 +382,12 @@
   }
   envelope answer = co_await stores_caller_.Ask(
       std::move(method), peering::EncodeName(found->second.address),
-      clock_.Now() + kRetirePatience, kRetirePatience);
+      clock_.Now() + kRetireTimeout, kRetireTimeout);
   LogEvent(event_id::kRetirementAsked,
            {{"instance", input->name}, {"reason", answer.reason}});
   co_return answer;
 }
 
-// --- Requests under which endpoints ended.
-
 void leader_service::NoteQuarantines(
     const std::vector<quarantine::standing_change>& changes) {
   quarantine::LogChanges(crashes_, changes);
@@ -426,10 +423,8 @@
   co_return Done();
 }
 
-// --- Upkeep.
-
-// Two leaders may draw one each; the first that is committed counts.
-awaitable<void> leader_service::DrawDigestKey() {
+// Two leaders may each generate a key; the first one that is committed is used.
+awaitable<void> leader_service::CommitDigestKey() {
   if (!state_.DigestKey().empty()) co_return;
   const set_digest_key_command command{core::RandomId()};
   co_await CommitCall(kSetDigestKeyCommand, core::EncodeBinary(command));
@@ -439,7 +434,7 @@
   for (;;) {
     co_await net::Sleep(kHousePeriod);
     if (!group_.IsServing()) continue;
-    co_await DrawDigestKey();
+    co_await CommitDigestKey();
     ExpireStores();
     const auto lifted = quarantine::Expire(crashes_, clock_.Now());
     if (!lifted.empty()) NoteQuarantines(lifted);
--- a/packages/controller/leader_service.h
+++ b/packages/controller/leader_service.h
@@ -1,9 +1,10 @@
 #ifndef HICKORYWOOD_CONTROLLER_LEADER_SERVICE_H_
 #define HICKORYWOOD_CONTROLLER_LEADER_SERVICE_H_
 
-// What the control leader does for the other processes: views, heartbeats,
-// configurations, weights, and requests that take endpoints down. Each method
-// answers kNotLeader where this instance does not hold a live lease.
+// The service that the control leader provides to the other processes: views,
+// heartbeats, configurations, weights, retirement of stores, and the quarantine
+// of requests that crash endpoints. Each method returns kNotLeader when this
+// instance has no live lease.
 
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/io_context.hpp>
@@ -37,13 +38,14 @@
   boost::asio::awaitable<peering::envelope> Handle(std::string method,
                                                    std::string payload);
 
-  // This instance starts or stops leading. `followed` is the view that it held
-  // as a follower.
+  // Handles the start or the end of leadership. `followed` is the view that
+  // this instance had as a follower.
   void OnLeadership(bool is_leader, const fleet::view& followed);
-  // The replicated state changed.
+  // Publishes changes of the replicated state.
   void OnApplied();
 
-  // The weights of an engine changed, or it began or ended to load.
+  // Publishes that the weights of an engine changed, or that a load began or
+  // ended.
   void NoteWeightsChanged();
 
   // Called when the list of endpoints changed.
@@ -66,9 +68,9 @@
   answer CommitCall(std::string name, std::string payload);
   void NoteStore(const fleet::view_request& input);
   void ExpireStores();
-  // Logs what began and ended, and tells it.
+  // Logs the changed quarantines and publishes them.
   void NoteQuarantines(const std::vector<quarantine::standing_change>& changes);
-  boost::asio::awaitable<void> DrawDigestKey();
+  boost::asio::awaitable<void> CommitDigestKey();
   boost::asio::awaitable<void> KeepHouse();
   void NoteEndpointsChanged();
   bool IsKnownService(const std::string& name) const;
@@ -85,16 +87,16 @@
   peering::leader_caller& stores_caller_;
   quarantine::crash_ledger crashes_;
   view_publisher views_;
-  uint64_t seen_config_ = 0;
-  std::string seen_founder_;
-  std::string seen_key_;
-  std::vector<std::string> seen_members_;
-  struct known_store {
+  uint64_t published_config_ = 0;
+  std::string published_founder_;
+  std::string published_key_;
+  std::vector<std::string> published_members_;
+  struct store_record {
     std::string address;
-    core::time_point heard_at{};
+    core::time_point last_request_at{};
   };
-  std::map<std::string, known_store> stores_;  // by instance
-  bool is_founding_ = false;
+  std::map<std::string, store_record> stores_;  // by instance
+  bool is_choosing_founder_ = false;
 };
 
 }  // namespace hickorywood::controller
