--- a/packages/controller/view_publisher.cc
+++ b/packages/controller/view_publisher.cc
@@ -17,22 +17,24 @@
 using core::time_point;
 
 constexpr milliseconds kLongestWait{5000};
-// An answer takes the leader about a tenth of a millisecond. So with this much
-// for each process that is told, a tenth of its time at most goes into news,
-// however many endpoints come and go.
-constexpr milliseconds kGatherEach{1};
-// Well below the second or two in which a leaving endpoint gets no new work.
-constexpr milliseconds kLongestGather{400};
-
-// Counts a process while it waits for news.
-class counted {
+// A response costs the leader about a tenth of a millisecond. With this time
+// for each follower, it spends at most a tenth of its time on updates, however
+// many endpoints join and leave.
+constexpr milliseconds kGatherTimePerFollower{1};
+// Well below the one or two seconds after which a leaving endpoint must get no
+// new work.
+constexpr milliseconds kMaxGatherTime{400};
+
+// Counts a process as a follower while it waits for changes.
+class follower_count {
  public:
-  explicit counted(std::shared_ptr<size_t> count) : count_(std::move(count)) {
+  explicit follower_count(std::shared_ptr<size_t> count)
+      : count_(std::move(count)) {
     ++*count_;
   }
-  ~counted() { --*count_; }
-  counted(const counted&) = delete;
-  counted& operator=(const counted&) = delete;
+  ~follower_count() { --*count_; }
+  follower_count(const follower_count&) = delete;
+  follower_count& operator=(const follower_count&) = delete;
 
  private:
   const std::shared_ptr<size_t> count_;
@@ -41,8 +43,9 @@
 }  // namespace
 
 milliseconds GatherTime(size_t followers) {
-  const milliseconds time = kGatherEach * static_cast<int64_t>(followers);
-  return std::min(time, kLongestGather);
+  const milliseconds time =
+      kGatherTimePerFollower * static_cast<int64_t>(followers);
+  return std::min(time, kMaxGatherTime);
 }
 
 view_publisher::view_publisher(asio::io_context& loop,
@@ -51,7 +54,7 @@
     : loop_(loop), clock_(clock), sources_(std::move(sources)) {}
 
 void view_publisher::Start() {
-  asio::co_spawn(loop_, KeepTelling(lists_, [this] { return TellLists(); }),
+  asio::co_spawn(loop_, KeepTelling(lists_, [this] { return UpdateLists(); }),
                  asio::detached);
   asio::co_spawn(loop_, KeepTelling(weights_, [this] { return TellWeights(); }),
                  asio::detached);
@@ -60,7 +63,7 @@
 void view_publisher::BeginTerm(uint64_t term, time_point complete_at) {
   fleet::BeginTerm(log_, term);
   complete_at_ = complete_at;
-  TellLists();
+  UpdateLists();
   TellWeights();
   Wake(lists_);
 }
@@ -70,46 +73,48 @@
   Wake(lists_);
 }
 
-void view_publisher::NoteEndpoints() { Note(lists_); }
+void view_publisher::NoteEndpoints() { ScheduleUpdate(lists_); }
 
-void view_publisher::NoteWarnings() { Note(lists_); }
+void view_publisher::NoteWarnings() { ScheduleUpdate(lists_); }
 
-void view_publisher::NoteMembers() { Note(lists_); }
+void view_publisher::NoteMembers() { ScheduleUpdate(lists_); }
 
-void view_publisher::NoteWeights() { Note(weights_); }
+void view_publisher::NoteWeights() { ScheduleUpdate(weights_); }
 
 void view_publisher::NoteConfiguration() { Wake(lists_); }
 
-void view_publisher::Note(gathering& news) {
-  news.is_due = true;
-  news.due.Notify();
+void view_publisher::ScheduleUpdate(gathering& channel) {
+  channel.has_changes = true;
+  channel.changed.Notify();
 }
 
-void view_publisher::Wake(gathering& news) {
+void view_publisher::Wake(gathering& channel) {
   answers_.clear();
-  // Stores follow both, and wait for the weights.
-  if (&news == &lists_) lists_.told.Notify();
-  weights_.told.Notify();
+  // Stores follow both channels, but wait only for the event of the weights.
+  if (&channel == &lists_) lists_.published.Notify();
+  weights_.published.Notify();
 }
 
-awaitable<void> view_publisher::KeepTelling(gathering& news, teller tell) {
+awaitable<void> view_publisher::KeepTelling(gathering& channel,
+                                            publish_function publish) {
   for (;;) {
-    if (!news.is_due) {
-      co_await news.due.WaitUntil(time_point::max());
+    if (!channel.has_changes) {
+      co_await channel.changed.WaitUntil(time_point::max());
       continue;
     }
-    const time_point next = news.told_at + GatherTime(*news.followers);
+    const time_point next =
+        channel.published_at + GatherTime(*channel.followers);
     while (clock_.Now() < next) {
       co_await net::Sleep(std::chrono::ceil<milliseconds>(next - clock_.Now()));
     }
-    news.is_due = false;
-    if (!tell()) continue;
-    news.told_at = clock_.Now();
-    Wake(news);
+    channel.has_changes = false;
+    if (!publish()) continue;
+    channel.published_at = clock_.Now();
+    Wake(channel);
   }
 }
 
-bool view_publisher::TellLists() {
+bool view_publisher::UpdateLists() {
   const bool has_endpoints = fleet::TellEndpoints(log_, sources_.endpoints());
   const bool has_warnings = fleet::TellWarnings(log_, sources_.warnings());
   const bool has_members = fleet::TellMembers(log_, sources_.members());
@@ -128,33 +133,35 @@
 awaitable<std::string> view_publisher::Answer(fleet::view_request input) {
   const milliseconds wait = std::min(milliseconds(input.wait_ms), kLongestWait);
   const time_point until = clock_.Now() + wait;
-  const counted follower(lists_.followers);
-  std::optional<counted> store;
+  const follower_count follower(lists_.followers);
+  std::optional<follower_count> store;
   if (input.wants_weights) store.emplace(weights_.followers);
-  net::event& told = input.wants_weights ? weights_.told : lists_.told;
+  net::event& published =
+      input.wants_weights ? weights_.published : lists_.published;
   const uint64_t interruptions = interruptions_;
-  const bool holds_nothing = input.held.term == 0;
-  while (holds_nothing && clock_.Now() < complete_at_ &&
+  const bool has_no_view = input.held.term == 0;
+  while (has_no_view && clock_.Now() < complete_at_ &&
          interruptions == interruptions_) {
-    co_await told.WaitUntil(complete_at_);
+    co_await published.WaitUntil(complete_at_);
   }
   while (!HasNews(input) && clock_.Now() < until &&
          interruptions == interruptions_) {
-    co_await told.WaitUntil(until);
+    co_await published.WaitUntil(until);
   }
-  co_return Encoded(std::move(input));
+  co_return EncodedUpdate(std::move(input));
 }
 
-const std::string& view_publisher::Encoded(fleet::view_request input) {
-  // Of another term nothing counts, so all who held one are answered alike.
+const std::string& view_publisher::EncodedUpdate(fleet::view_request input) {
+  // Versions of another term are not comparable, so all processes with such a
+  // version get the same response.
   if (input.held.term != log_.term) {
     input.held = {};
     input.held_weights = 0;
   }
   const answer_key key(input.held.term, input.held.count, input.held_weights,
                        input.held_config, input.wants_weights);
-  const auto known = answers_.find(key);
-  if (known != answers_.end()) return known->second;
+  const auto cached = answers_.find(key);
+  if (cached != answers_.end()) return cached->second;
   fleet::view_update update = fleet::MakeUpdate(log_, input);
   const fleet::configuration& config = sources_.config();
   update.has_config = config.version > input.held_config;
--- a/packages/controller/view_publisher.h
+++ b/packages/controller/view_publisher.h
@@ -1,10 +1,10 @@
 #ifndef HICKORYWOOD_CONTROLLER_VIEW_PUBLISHER_H_
 #define HICKORYWOOD_CONTROLLER_VIEW_PUBLISHER_H_
 
-// Tells every other process of this leader's view: each asks, and its answer is
-// held back until there is news for it. News of endpoints and of weights is
-// gathered for a while that grows with the number of processes that follow; a
-// configuration goes out at once, whatever else changes.
+// Sends the view of this leader to every other process. Each process requests
+// it, and the response is delayed until the view has changed for that process.
+// Changes of endpoints and of weights are collected for a time that grows with
+// the number of followers; a new configuration is sent at once.
 
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/io_context.hpp>
@@ -23,7 +23,7 @@
 
 namespace hickorywood::controller {
 
-// Where the view comes from, asked for what is true now.
+// The sources of the current view.
 struct view_sources {
   std::function<std::vector<fleet::endpoint>()> endpoints;
   std::function<std::vector<fleet::request_warning>()> warnings;
@@ -32,7 +32,7 @@
   std::function<const fleet::configuration&()> config;
 };
 
-// How long news is gathered where `followers` processes are told of it.
+// How long changes are collected when `followers` processes receive them.
 core::milliseconds GatherTime(size_t followers);
 
 class view_publisher {
@@ -41,57 +41,58 @@
                  const core::runtime_clock& clock, view_sources sources);
 
   void Start();
-  // This instance leads from now on, under `term`: all is told anew. Until
-  // `complete_at` others may know more than it does, and a process that holds
-  // nothing is not told yet.
+  // Begins a term of this leader: every process receives the complete view.
+  // Until `complete_at` this leader may lack changes that other processes have,
+  // and a process without a view gets no response.
   void BeginTerm(uint64_t term, core::time_point complete_at);
 
-  // Something of that kind changed.
+  // Schedules the publication of the changed part.
   void NoteEndpoints();
   void NoteWarnings();
   void NoteMembers();
   void NoteWeights();
   void NoteConfiguration();
 
-  // This instance leads no more: what waits is answered at once.
+  // Handles the end of leadership: all waiting requests are answered at once.
   void Interrupt();
 
-  // The encoded update for a process, once there is news for it or its time
-  // has passed.
+  // Returns the encoded update for a process, once there are changes for it or
+  // its wait time has passed.
   boost::asio::awaitable<std::string> Answer(fleet::view_request input);
 
  private:
-  // One kind of news: whether some waits to be told, and since when none was.
+  // One kind of changes, and the processes that wait for it.
   struct gathering {
-    bool is_due = false;
-    core::time_point told_at{};
-    // Processes that wait for it now. Shared with those that wait: at the end
-    // of the process their frames go after this object.
+    bool has_changes = false;
+    core::time_point published_at{};
+    // Number of processes that wait for it now. Shared with the waiting
+    // coroutines: at shutdown their frames are destroyed after this object.
     std::shared_ptr<size_t> followers = std::make_shared<size_t>(0);
-    net::event due;
-    net::event told;  // wakes those processes
+    net::event changed;
+    net::event published;  // wakes the waiting processes
   };
 
-  using teller = std::function<bool()>;
+  using publish_function = std::function<bool()>;
 
-  boost::asio::awaitable<void> KeepTelling(gathering& news, teller tell);
-  void Note(gathering& news);
-  bool TellLists();
+  boost::asio::awaitable<void> KeepTelling(gathering& channel,
+                                           publish_function publish);
+  void ScheduleUpdate(gathering& channel);
+  bool UpdateLists();
   bool TellWeights();
   bool HasNews(const fleet::view_request& input) const;
-  const std::string& Encoded(fleet::view_request input);
-  void Wake(gathering& news);
+  const std::string& EncodedUpdate(fleet::view_request input);
+  void Wake(gathering& channel);
 
   boost::asio::io_context& loop_;
   const core::runtime_clock& clock_;
   const view_sources sources_;
   fleet::view_log log_;
   gathering lists_;    // endpoints, warnings and members, for every process
-  gathering weights_;  // for stores, which follow the lists too
+  gathering weights_;  // for stores, which also follow the lists
   uint64_t interruptions_ = 0;
   core::time_point complete_at_{};
-  // Answers made since the last change. Most processes hold the same version,
-  // and encoding is what an answer costs.
+  // Responses encoded since the last change. Most processes have the same
+  // version, and encoding is the main cost of a response.
   using answer_key = std::tuple<uint64_t, uint64_t, uint64_t, uint64_t, bool>;
   std::map<answer_key, std::string> answers_;
 };
--- a/tests/unit/controller/view_publisher_test.cc
+++ b/tests/unit/controller/view_publisher_test.cc
@@ -29,13 +29,13 @@
     return sources;
   }
 
-  // A process that holds all that was told so far asks for more.
-  void Ask(std::optional<fleet::view_update>& answer, bool wants_weights,
-           bool holds_nothing = false) {
+  // Requests an update for a process that has applied all updates so far.
+  void RequestUpdate(std::optional<fleet::view_update>& answer,
+                     bool wants_weights, bool has_no_view = false) {
     fleet::view_request input;
     input.wait_ms = 5000;
     input.wants_weights = wants_weights;
-    if (!holds_nothing) {
+    if (!has_no_view) {
       input.held = held.version;
       input.held_weights = held.weights_count;
       input.held_config = held.config.version;
@@ -53,10 +53,10 @@
     while (!answer) loop.run_one();
   }
 
-  // Takes what there is to hold.
+  // Requests the complete view and applies it.
   void CatchUp() {
     std::optional<fleet::view_update> answer;
-    Ask(answer, true, true);
+    RequestUpdate(answer, true, true);
     RunUntil(answer);
   }
 
@@ -70,15 +70,15 @@
   view_publisher publisher;
 };
 
-// Engines load weights all day, which concerns stores alone. An entry that is
-// answered at each load asks again at once: with 200 entries and 40 loads a
-// second the leader did nothing else.
-TEST_F(ViewPublisherTest, NewsOfWeightsGoesToStoresOnly) {
+// Engines load weights all the time, which only stores need to follow. Guards
+// against a response to every entry at each load: with 200 entries and 40 loads
+// a second the leader did nothing else.
+TEST_F(ViewPublisherTest, WeightChangesAreSentToStoresOnly) {
   CatchUp();
   std::optional<fleet::view_update> store;
   std::optional<fleet::view_update> entry;
-  Ask(entry, false);
-  Ask(store, true);
+  RequestUpdate(entry, false);
+  RequestUpdate(store, true);
   weights = {{"i-1", "m", 2, true}};
   publisher.NoteWeights();
   RunUntil(store);
@@ -88,15 +88,16 @@
   EXPECT_FALSE(entry);
 }
 
-// A hundred endpoints join while an entry asks again and again. The first is
-// told at once, and all others in one answer when the time to gather is over.
-TEST_F(ViewPublisherTest, NewsIsGatheredWhereManyFollow) {
+// A hundred endpoints join while an entry sends one request after the other.
+// The first change is sent at once, and all others in one response when the
+// time to collect them has passed.
+TEST_F(ViewPublisherTest, ChangesAreCollectedForManyFollowers) {
   constexpr size_t kEndpoints = 100;
   CatchUp();
   clock.Pause();
   size_t answers = 0;
   std::optional<fleet::view_update> entry;
-  Ask(entry, false);
+  RequestUpdate(entry, false);
   for (size_t i = 0; i < kEndpoints; ++i) {
     fleet::endpoint item;
     item.incarnation = "i-" + std::to_string(i);
@@ -107,7 +108,7 @@
     if (!entry) continue;
     ++answers;
     entry.reset();
-    Ask(entry, false);
+    RequestUpdate(entry, false);
   }
   EXPECT_EQ(answers, 1U);
   EXPECT_EQ(held.endpoints.size(), 1U);
@@ -116,12 +117,12 @@
   EXPECT_EQ(held.endpoints.size(), kEndpoints);
 }
 
-// A configuration is committed in the middle of a storm of other news. It goes
-// out with the next turn of the loop and does not wait to be gathered.
-TEST_F(ViewPublisherTest, AConfigurationGoesOutAtOnce) {
+// A configuration is committed among many other changes. It is sent in the next
+// turn of the loop and is not collected with them.
+TEST_F(ViewPublisherTest, ConfigurationIsSentAtOnce) {
   CatchUp();
   std::optional<fleet::view_update> entry;
-  Ask(entry, false);
+  RequestUpdate(entry, false);
   loop.poll();
   config.version = 7;
   publisher.NoteConfiguration();
@@ -132,31 +133,32 @@
   EXPECT_EQ(entry->lists, fleet::list_part::kNone);
 }
 
-// Guards against a process that starts beside a leader which has just started
-// too, and sends a request on that all others hold back.
-TEST_F(ViewPublisherTest, ProcessThatHoldsNothingWaitsForWhatOthersTell) {
+// Guards against a process that starts at the same time as a new leader,
+// receives an incomplete list of warnings, and sends a request that all others
+// have quarantined.
+TEST_F(ViewPublisherTest, ProcessWithoutViewWaitsForCompleteWarnings) {
   CatchUp();
   clock.Pause();
   publisher.BeginTerm(2, clock.Now() + milliseconds(300));
   std::optional<fleet::view_update> follower;
-  Ask(follower, false);
+  RequestUpdate(follower, false);
   RunUntil(follower);
-  std::optional<fleet::view_update> starter;
-  Ask(starter, false, true);
+  std::optional<fleet::view_update> new_process;
+  RequestUpdate(new_process, false, true);
   loop.poll();
-  EXPECT_FALSE(starter);
+  EXPECT_FALSE(new_process);
   warnings.push_back({});
   publisher.NoteWarnings();
   clock.Advance(milliseconds(300));
-  RunUntil(starter);
-  EXPECT_EQ(starter->warnings.size(), 1U);
+  RunUntil(new_process);
+  EXPECT_EQ(new_process->warnings.size(), 1U);
 }
 
-// The leader loses its lease. Who waits is not kept waiting for its time.
+// The leader loses its lease. Waiting processes get their responses at once.
 TEST_F(ViewPublisherTest, InterruptionAnswersAtOnce) {
   CatchUp();
   std::optional<fleet::view_update> entry;
-  Ask(entry, false);
+  RequestUpdate(entry, false);
   loop.poll();
   ASSERT_FALSE(entry);
   publisher.Interrupt();
@@ -164,7 +166,8 @@
   EXPECT_TRUE(entry);
 }
 
-// However many follow, a leaving endpoint is told of well within two seconds.
+// For any number of followers, a leaving endpoint is published well within two
+// seconds.
 TEST(GatherTimeTest, GrowsWithFollowersUpToABound) {
   EXPECT_LE(GatherTime(14), milliseconds(20));
   EXPECT_LT(GatherTime(14), GatherTime(200));
