--- a/packages/controller/leader_service.cc
+++ b/packages/controller/leader_service.cc
@@ -247,7 +247,7 @@
   const bool is_listed = registry_.endpoints.count(incarnation) != 0;
   for (const fleet::model_version& item : input.models) {
     if (!is_listed) break;
-    is_newer |= NoteVersion(weights_, incarnation, item.model, item.version);
+    is_newer |= RecordVersion(weights_, incarnation, item.model, item.version);
   }
   if (is_newer) NoteWeightsChanged();
   if (is_changed) {
--- a/packages/controller/weight_book.cc
+++ b/packages/controller/weight_book.cc
@@ -7,26 +7,28 @@
 namespace hickorywood::controller {
 namespace {
 
-// Engines per load that may run at the same time. Loads share the link to the
-// weight store: with more than a fifth of the engines loading each load takes
-// longer by as much, and more engines are out at once.
+// Number of engines for each load that may run at the same time. Loads share
+// the link to the weight store: with more than a fifth of the engines loading,
+// each load takes longer in proportion, and more engines are unavailable at
+// once.
 constexpr size_t kEnginesPerLoad = 5;
-constexpr size_t kLeastLoadsAtOnce = 2;
+constexpr size_t kMinConcurrentLoads = 2;
 
-size_t MostLoadsAtOnce(size_t engines) {
+size_t MaxConcurrentLoads(size_t engines) {
   const size_t share = (engines + kEnginesPerLoad / 2) / kEnginesPerLoad;
-  return std::max(share, kLeastLoadsAtOnce);
+  return std::max(share, kMinConcurrentLoads);
 }
 
-// Loads of a period against what the loader carries in one. Above 1: a model on
-// few engines is worse off when one of them crashes or turns slow than with
-// some engines that are brought up to date late (score of three trainers on
-// nine engines 0.59 with 1.3, 0.51 with 0.7).
-constexpr double kLoaderShare = 1.3;
-// Engines below which a model is not kept up: one loads while the other serves.
-constexpr size_t kLeastEngines = 2;
-// Least weight of a model, against 1 for the mean.
-constexpr double kLeastWeight = 0.4;
+// Number of planned loads in a period, relative to the capacity of the loader.
+// Above 1, because a model on few engines suffers more when one of them crashes
+// or becomes slow than a model with some engines that are updated late (score
+// of three trainers on nine engines 0.59 with 1.3, 0.51 with 0.7).
+constexpr double kLoaderOvercommit = 1.3;
+// Fewest engines on which a model is kept up to date: one loads while the other
+// one serves.
+constexpr size_t kMinEnginesPerModel = 2;
+// Lowest weight of a model, relative to a mean of 1.
+constexpr double kMinWeight = 0.4;
 
 size_t AssignmentsOf(const weight_book& book, const std::string& incarnation) {
   size_t count = 0;
@@ -43,9 +45,9 @@
                      });
 }
 
-// Leaves out the engine that is furthest behind.
-void DropOne(const weight_book& book, std::set<std::string>& chosen,
-             const std::string& model) {
+// Removes the engine with the oldest version from a chosen set.
+void RemoveMostOutdated(const weight_book& book, std::set<std::string>& chosen,
+                        const std::string& model) {
   const auto worst =
       std::min_element(chosen.begin(), chosen.end(),
                        [&](const std::string& left, const std::string& right) {
@@ -55,8 +57,9 @@
   chosen.erase(worst);
 }
 
-// Fills a model's engines up with those that serve the fewest models so far,
-// and among these with the ones whose version is newest.
+// Updates the set of engines that are assigned to a model. It adds engines that
+// have the fewest models assigned, and among these the ones with the newest
+// version.
 void Assign(weight_book& book, const load_plan_input& input,
             const std::string& model) {
   std::set<std::string>& chosen = book.assigned[model];
@@ -65,7 +68,7 @@
   });
   const plannable_model& terms = input.models.at(model);
   const size_t wanted = EnginesPerModel(input, terms.period, terms.weight);
-  while (chosen.size() > wanted) DropOne(book, chosen, model);
+  while (chosen.size() > wanted) RemoveMostOutdated(book, chosen, model);
   while (chosen.size() < wanted) {
     const plannable_engine* best = nullptr;
     const auto rank = [&](const plannable_engine& engine) {
@@ -82,16 +85,20 @@
   }
 }
 
-// The loads that one model still needs, the most urgent first.
+// The loads that one model needs, the most urgent first.
 struct model_need {
   double weight = 1;
-  size_t serviceable = 0;  // engines that its next step can use, or soon
-  std::vector<planned_load> useless;  // engines that its next step can't use
-  std::vector<planned_load> ahead;    // for the step after the next
+  // Engines that its next step can use, now or after a load in progress.
+  size_t serviceable = 0;
+  // Loads to engines that its next step can't use.
+  std::vector<planned_load> outdated;
+  // Loads to other engines, for the step after the next.
+  std::vector<planned_load> early;
 };
 
-// All engines that the next step can't use, and of the others as many as half
-// of the engines lack of the newest version.
+// Returns the loads to all assigned engines that the next step can't use, and
+// to as many of the others as half of the assigned engines need to have the
+// newest version.
 model_need NeedOf(const weight_book& book, const load_plan_input& input,
                   const fleet::model_version& newest) {
   const std::set<std::string>& chosen = book.assigned.at(newest.model);
@@ -107,31 +114,33 @@
     if (chosen.count(engine.incarnation) == 0) continue;
     if (is_current) ++current;
     if (is_current || !engine.is_usable) continue;
-    const bool is_useless = version + 1 < newest.version;
-    (is_useless ? need.useless : optional)
+    const bool is_outdated = version + 1 < newest.version;
+    (is_outdated ? need.outdated : optional)
         .push_back({engine.incarnation, newest});
   }
   const size_t half = (chosen.size() + 1) / 2;
-  const size_t coming = current + need.useless.size();
+  const size_t coming = current + need.outdated.size();
   for (const planned_load& load : optional) {
-    if (coming + need.ahead.size() >= half) break;
-    need.ahead.push_back(load);
+    if (coming + need.early.size() >= half) break;
+    need.early.push_back(load);
   }
   return need;
 }
 
-// How well a model is off.
+// The number of usable engines of a model, relative to its weight.
 double Supply(const model_need& need) {
   return static_cast<double>(need.serviceable) / need.weight;
 }
 
-// Takes the first load of an engine that is not taken yet. False: none is left.
-bool TakeFirst(std::vector<planned_load>& from, std::set<std::string>& taken,
+// Plans the first load whose engine has no planned load yet. Returns false when
+// there is none.
+bool PlanFirst(std::vector<planned_load>& from,
+               std::set<std::string>& planned_engines,
                std::vector<planned_load>& plan) {
   while (!from.empty()) {
     const planned_load load = from.front();
     from.erase(from.begin());
-    if (!taken.insert(load.incarnation).second) continue;
+    if (!planned_engines.insert(load.incarnation).second) continue;
     plan.push_back(load);
     return true;
   }
@@ -155,7 +164,7 @@
     const double weight =
         is_known ? found->second * static_cast<double>(models.size()) / total
                  : 1;
-    weights[model] = std::max(weight, kLeastWeight);
+    weights[model] = std::max(weight, kMinWeight);
   }
   return weights;
 }
@@ -164,8 +173,8 @@
                        std::chrono::milliseconds period, double weight) {
   const size_t engines = input.engines.size();
   const size_t models = std::max<size_t>(1, input.models.size());
-  const double loads = kLoaderShare *
-                       static_cast<double>(MostLoadsAtOnce(engines)) *
+  const double loads = kLoaderOvercommit *
+                       static_cast<double>(MaxConcurrentLoads(engines)) *
                        (std::chrono::duration<double>(period) /
                         std::chrono::duration<double>(input.load_time)) /
                        static_cast<double>(models);
@@ -173,11 +182,11 @@
   const auto doubled = static_cast<size_t>(std::ceil(
       2 * weight * static_cast<double>(engines) / static_cast<double>(models)));
   return std::min(engines,
-                  std::max(kLeastEngines, std::min(affordable, doubled)));
+                  std::max(kMinEnginesPerModel, std::min(affordable, doubled)));
 }
 
-bool NoteVersion(weight_book& book, const std::string& incarnation,
-                 const std::string& model, uint64_t version) {
+bool RecordVersion(weight_book& book, const std::string& incarnation,
+                   const std::string& model, uint64_t version) {
   uint64_t& known = book.engines[incarnation].versions[model];
   const bool is_newer = version > known;
   known = std::max(known, version);
@@ -209,28 +218,28 @@
     needs.back().weight = terms.weight;
   }
   std::vector<planned_load> plan;
-  std::set<std::string> taken;
-  const size_t most = MostLoadsAtOnce(input.engines.size());
+  std::set<std::string> planned_engines;
+  const size_t limit = MaxConcurrentLoads(input.engines.size());
   const auto has_room = [&] {
-    return input.loads_under_way + plan.size() < most;
+    return input.loads_under_way + plan.size() < limit;
   };
-  // One load at a time to the model that is worst off, so that models take
-  // turns when the loader can't keep up.
-  const auto worst_off = [&needs]() -> model_need* {
+  // Plans one load at a time for the model with the lowest supply, so that the
+  // models take turns when the loader is overloaded.
+  const auto lowest_supply = [&needs]() -> model_need* {
     model_need* worst = nullptr;
     for (model_need& need : needs) {
-      if (need.useless.empty()) continue;
+      if (need.outdated.empty()) continue;
       if (worst == nullptr || Supply(need) < Supply(*worst)) worst = &need;
     }
     return worst;
   };
   while (has_room()) {
-    model_need* const need = worst_off();
+    model_need* const need = lowest_supply();
     if (need == nullptr) break;
-    if (TakeFirst(need->useless, taken, plan)) ++need->serviceable;
+    if (PlanFirst(need->outdated, planned_engines, plan)) ++need->serviceable;
   }
   for (model_need& need : needs) {
-    while (has_room() && TakeFirst(need.ahead, taken, plan)) {
+    while (has_room() && PlanFirst(need.early, planned_engines, plan)) {
     }
   }
   return plan;
--- a/packages/controller/weight_keeper.cc
+++ b/packages/controller/weight_keeper.cc
@@ -260,7 +260,7 @@
 void weight_keeper::NoteReport(const planned_load& load,
                                const fleet::endpoint_report& report) {
   for (const fleet::model_version& item : report.models) {
-    NoteVersion(book_, load.incarnation, item.model, item.version);
+    RecordVersion(book_, load.incarnation, item.model, item.version);
   }
 }
 
--- a/tests/unit/controller/weight_book_test.cc
+++ b/tests/unit/controller/weight_book_test.cc
@@ -23,35 +23,35 @@
 void SetAll(weight_book& book, const load_plan_input& input,
             const std::string& model, uint64_t version) {
   for (const plannable_engine& engine : input.engines) {
-    NoteVersion(book, engine.incarnation, model, version);
+    RecordVersion(book, engine.incarnation, model, version);
   }
 }
 
-// Carries the plan out until nothing is left to load.
+// Plans and completes loads until none is left. Returns their number.
 size_t LoadAll(weight_book& book, const load_plan_input& input) {
   size_t loads = 0;
   for (;;) {
     const std::vector<planned_load> plan = PlanLoads(book, input);
     if (plan.empty()) return loads;
     for (const planned_load& load : plan) {
-      NoteVersion(book, load.incarnation, load.target.model,
-                  load.target.version);
+      RecordVersion(book, load.incarnation, load.target.model,
+                    load.target.version);
       ++loads;
     }
   }
 }
 
-TEST(WeightBookTest, VersionsNeverStepBack) {
+TEST(WeightBookTest, VersionsNeverDecrease) {
   weight_book book;
-  EXPECT_TRUE(NoteVersion(book, "e", "m", 3));
-  EXPECT_FALSE(NoteVersion(book, "e", "m", 2));
+  EXPECT_TRUE(RecordVersion(book, "e", "m", 3));
+  EXPECT_FALSE(RecordVersion(book, "e", "m", 2));
   EXPECT_EQ(VersionAt(book, "e", "m"), 3U);
   EXPECT_FALSE(VersionAt(book, "e", "other"));
 }
 
-// One trainer, nine engines, a version every few seconds; a step takes the
-// newest version and the one before. Half of the engines load each version, and
-// at no time are all of them too old for the next step.
+// One trainer, nine engines, a version every few seconds; a step accepts the
+// newest version and the previous one. Half of the engines load each version,
+// and every engine always has a version that the next step accepts.
 TEST(WeightBookTest, HalvesTakeTurns) {
   weight_book book;
   load_plan_input input = Engines(9);
@@ -67,7 +67,8 @@
 }
 
 // Three trainers on nine engines; a load takes 1 s and two run at a time. When
-// versions come faster than all engines could load them, fewer are kept up.
+// versions are published faster than all engines can load them, fewer engines
+// are kept up to date.
 TEST(WeightBookTest, LoadsFitIntoThePeriod) {
   load_plan_input input = Engines(9);
   input.models = {{"a", {2}}, {"b", {2}}, {"c", {2}}};
@@ -79,25 +80,26 @@
   EXPECT_EQ(EnginesPerModel(input, milliseconds(4000)), 9U);
 }
 
-// When loads have to wait, the model whose next step finds the fewest engines
-// goes first, whatever its name.
+// When loads have to wait, the model whose next step can use the fewest engines
+// goes first, independent of its name.
 TEST(WeightBookTest, ModelWithFewestUsableEnginesGoesFirst) {
   weight_book book;
   load_plan_input input = Engines(9);
   input.models = {{"a", {5}}, {"b", {5}}};
   SetAll(book, input, "a", 4);
   SetAll(book, input, "b", 3);
-  NoteVersion(book, "e0", "a", 3);
+  RecordVersion(book, "e0", "a", 3);
   const std::vector<planned_load> plan = PlanLoads(book, input);
   ASSERT_EQ(plan.size(), 2U);
   EXPECT_EQ(plan[0].target.model, "b");
   EXPECT_EQ(plan[1].target.model, "b");
 }
 
-// After a new leader's election three models are two versions behind at every
-// engine. Each gets engines in turn; once the first one's steps waited 11 s
-// while the others, whose names sort first, were brought up to date twice.
-TEST(WeightBookTest, ModelsTakeTurnsWhenAllAreBehind) {
+// After an election three models are two versions behind on every engine. The
+// models take turns. Guards against an order by name, with which the steps of
+// one model waited for 11 s while the others, whose names sort first, were
+// updated twice.
+TEST(WeightBookTest, ModelsTakeTurnsWhenAllAreOutdated) {
   weight_book book;
   load_plan_input input = Engines(9);
   input.models = {{"a", {5}}, {"b", {5}}, {"c", {5}}};
@@ -105,7 +107,7 @@
   std::vector<std::string> order;
   while (order.size() < 6) {
     for (const planned_load& load : PlanLoads(book, input)) {
-      NoteVersion(book, load.incarnation, load.target.model, 5);
+      RecordVersion(book, load.incarnation, load.target.model, 5);
       order.push_back(load.target.model);
     }
   }
@@ -113,8 +115,8 @@
   EXPECT_EQ(order, std::vector<std::string>({"a", "a", "b", "b", "c", "c"}));
 }
 
-// Three trainers with all the time that loads need: each model is kept up on
-// six of nine engines, so that a version costs three loads, a third of the
+// Three trainers, with enough time for all loads. Each model is kept up to date
+// on six of nine engines, so that a version costs three loads, a third of the
 // engines.
 TEST(WeightBookTest, ModelsShareTheEngines) {
   weight_book book;
@@ -131,9 +133,9 @@
   for (const auto& item : book.assigned) EXPECT_EQ(item.second.size(), 6U);
 }
 
-// One model has four times the work of the other, and loads can't keep up. The
-// engines that a next step can use are shared by work, and the small model
-// keeps enough for a crash.
+// One model has four times the work of the other, and the loader is overloaded.
+// The engines are shared by demand, and the small model keeps enough engines
+// for a crash.
 TEST(WeightBookTest, LoadsFollowTheDemand) {
   weight_book book;
   load_plan_input input = Engines(12);
@@ -148,7 +150,7 @@
   std::map<std::string, size_t> loads;
   while (loads["large"] + loads["small"] < 8) {
     for (const planned_load& load : PlanLoads(book, input)) {
-      NoteVersion(book, load.incarnation, load.target.model, 5);
+      RecordVersion(book, load.incarnation, load.target.model, 5);
       ++loads[load.target.model];
     }
   }
@@ -160,8 +162,8 @@
             12U);
 }
 
-// Nobody has said how much work there is, or only of one model: all count the
-// same, or the unknown one as the mean.
+// No demand was reported, or only that of one model: all models have the same
+// weight, or the model without a demand has the mean weight.
 TEST(WeightBookTest, UnknownDemandCountsAsTheMean) {
   const auto none = WeightsOf({"a", "b"}, {});
   EXPECT_EQ(none.at("a"), 1);
@@ -174,8 +176,8 @@
   EXPECT_TRUE(WeightsOf({}, {{"a", 1}}).empty());
 }
 
-// Loads share the link to the weight store: few run at once, and an engine has
-// one at a time.
+// Loads share the link to the weight store: few run at once, and each engine
+// has at most one.
 TEST(WeightBookTest, FewLoadsAtOnce) {
   weight_book book;
   load_plan_input input = Engines(9);
@@ -190,8 +192,8 @@
   EXPECT_EQ(PlanLoads(book, large).size(), 10U);
 }
 
-// An engine is lost and a new one comes. The others keep their models; the new
-// one takes the place that is free.
+// An engine terminates and a new one joins. The others keep their models, and
+// the new one takes over the free assignments.
 TEST(WeightBookTest, LostEngineIsReplaced) {
   weight_book book;
   load_plan_input input = Engines(9);
