--- a/packages/controller/weight_keeper.cc
+++ b/packages/controller/weight_keeper.cc
@@ -20,25 +20,26 @@
 
 constexpr milliseconds kPlanPeriod{200};
 constexpr milliseconds kCallTimeout{700};
-// Between two looks at whether a load is done. The next load waits for it, and
-// a look costs a small call.
-constexpr milliseconds kNextLook{50};
-// Share of the usual time after which the first look is due. A look at the full
-// time never sees that loads have become quicker: one that took 1.4 s while a
-// third one ran was waited for as long ever after, a third of the loader's
-// time.
-constexpr double kFirstLookShare = 0.8;
-// A new sample's share in the smoothed times.
-constexpr int kSmoothing = 4;
-// Time between two versions within which the next one is thought to come.
-constexpr milliseconds kShortestPeriod{500};
-constexpr milliseconds kLongestPeriod{60000};
-// After this an order counts as lost and is given again.
-constexpr milliseconds kLoadLimit{6000};
-// How long an engine that gave no report counts as lost. Its heartbeats tell of
-// a crash only after several seconds.
-constexpr milliseconds kLostTime{2000};
-// Pause before an engine that did not take an order is asked again.
+// Pause between two requests for a report while a load runs. The next load
+// starts only after the report of the previous one, and a report costs one
+// small call.
+constexpr milliseconds kReportPeriod{50};
+// Share of the average load time after which the first report is requested. A
+// first report after the full time can't detect that loads became faster: the
+// average of a load that took 1.4 s while a third one ran stayed at 1.4 s,
+// which wasted a third of the capacity of the loader.
+constexpr double kFirstReportShare = 0.8;
+// Divisor of a new sample in the exponential smoothing.
+constexpr int kSmoothingDivisor = 4;
+// Bounds of the time that is assumed between two versions.
+constexpr milliseconds kMinPublishPeriod{500};
+constexpr milliseconds kMaxPublishPeriod{60000};
+// After this time an order is abandoned and sent again.
+constexpr milliseconds kLoadTimeout{6000};
+// How long an engine that did not respond is excluded from planning. Heartbeats
+// reveal a crash only after several seconds.
+constexpr milliseconds kUnreachableTime{2000};
+// Pause before another order to an engine that did not accept one.
 constexpr milliseconds kRetryPause{700};
 
 }  // namespace
@@ -70,21 +71,21 @@
          clock_.Now() - group_.ElectedAt() >= options_.holder_lease;
 }
 
-// Learns how often each model's weights change.
-void weight_keeper::NotePublications() {
+// Updates the average time between two versions of each model.
+void weight_keeper::RecordPublications() {
   const time_point now = clock_.Now();
   for (const auto& [model, version] : state_.Versions()) {
     publication& known = publications_[model];
     if (version == known.version) continue;
     if (known.version != 0 && version == known.version + 1) {
       const auto gap =
-          std::chrono::duration_cast<milliseconds>(now - known.seen_at);
+          std::chrono::duration_cast<milliseconds>(now - known.published_at);
       const milliseconds sample =
-          std::clamp(gap, kShortestPeriod, kLongestPeriod);
-      known.period += (sample - known.period) / kSmoothing;
+          std::clamp(gap, kMinPublishPeriod, kMaxPublishPeriod);
+      known.period += (sample - known.period) / kSmoothingDivisor;
     }
     known.version = version;
-    known.seen_at = now;
+    known.published_at = now;
   }
 }
 
@@ -93,7 +94,7 @@
     const bool is_idle = state_.Versions().empty() || !MayOrder();
     co_await wake_.WaitUntil(clock_.Now() +
                              (is_idle ? milliseconds(1000) : kPlanPeriod));
-    NotePublications();
+    RecordPublications();
     if (!MayOrder()) continue;
     for (const fleet::service& service : state_.Config().services) {
       if (service.has_engines) PlanService(service);
@@ -121,10 +122,10 @@
         entry.item.state == fleet::endpoint_state::kDraining) {
       continue;
     }
-    // Another engine takes its place meanwhile.
-    const auto lost = lost_until_.find(incarnation);
-    if (lost != lost_until_.end() && lost->second > now) continue;
-    const bool is_loading = under_way_.count(incarnation) != 0;
+    // Excluded, so that another engine is chosen in its place.
+    const auto until = unreachable_until_.find(incarnation);
+    if (until != unreachable_until_.end() && until->second > now) continue;
+    const bool is_loading = loads_in_progress_.count(incarnation) != 0;
     const auto avoid = avoid_until_.find(incarnation);
     plannable_engine engine;
     engine.incarnation = incarnation;
@@ -139,73 +140,74 @@
 
 void weight_keeper::StartLoad(const planned_load& load) {
   const fleet::endpoint target = registry_.endpoints.at(load.incarnation).item;
-  under_way_.insert(load.incarnation);
+  loads_in_progress_.insert(load.incarnation);
   book_.engines[load.incarnation].loading = load.target.model;
   if (on_change) on_change();
   asio::co_spawn(
       loop_, Load(load, target),
       [this, load, started = clock_.Now()](const std::exception_ptr& failure,
-                                           load_end end) {
+                                           load_outcome outcome) {
         const auto took =
             std::chrono::duration_cast<milliseconds>(clock_.Now() - started);
         LogEvent(event_id::kWeightsLoaded,
                  {{"endpoint", load.incarnation},
                   {"model", load.target.model},
                   {"version", std::to_string(load.target.version)},
-                  {"done", end == load_end::kDone ? "true" : "false"},
-                  {"under_way", std::to_string(under_way_.size())},
+                  {"done", outcome == load_outcome::kDone ? "true" : "false"},
+                  {"under_way", std::to_string(loads_in_progress_.size())},
                   {"usual_ms", std::to_string(load_time_.count())},
                   {"ms", std::to_string(took.count())}});
-        under_way_.erase(load.incarnation);
+        loads_in_progress_.erase(load.incarnation);
         book_.engines[load.incarnation].loading.clear();
-        if (failure || end != load_end::kDone) {
+        if (failure || outcome != load_outcome::kDone) {
           avoid_until_[load.incarnation] = clock_.Now() + kRetryPause;
         }
-        if (end == load_end::kUnreachable) {
-          lost_until_[load.incarnation] = clock_.Now() + kLostTime;
+        if (outcome == load_outcome::kUnreachable) {
+          unreachable_until_[load.incarnation] =
+              clock_.Now() + kUnreachableTime;
         }
         if (on_change) on_change();
         wake_.Notify();
       });
 }
 
-awaitable<weight_keeper::load_end> weight_keeper::Load(planned_load load,
-                                                       fleet::endpoint target) {
+awaitable<weight_keeper::load_outcome> weight_keeper::Load(
+    planned_load load, fleet::endpoint target) {
   const auto before = co_await Report(target);
-  if (!before) co_return load_end::kUnreachable;
-  NoteReport(load, *before);
+  if (!before) co_return load_outcome::kUnreachable;
+  RecordReport(load, *before);
   const bool is_done =
       VersionAt(book_, load.incarnation, load.target.model).value_or(0) >=
       load.target.version;
-  if (is_done) co_return load_end::kDone;
-  if (before->is_busy || !MayOrder()) co_return load_end::kRetryLater;
+  if (is_done) co_return load_outcome::kDone;
+  if (before->is_busy || !MayOrder()) co_return load_outcome::kRetryLater;
   const auto outcome = co_await Order(load, target, before->order_sequence);
-  if (outcome == fleet::order_outcome::kFenced) co_return load_end::kFenced;
-  const bool is_taken = !outcome ||
-                        *outcome == fleet::order_outcome::kStarted ||
-                        *outcome == fleet::order_outcome::kAlreadyDone;
-  if (!is_taken) co_return load_end::kRetryLater;
+  if (outcome == fleet::order_outcome::kFenced) co_return load_outcome::kFenced;
+  const bool is_accepted = !outcome ||
+                           *outcome == fleet::order_outcome::kStarted ||
+                           *outcome == fleet::order_outcome::kAlreadyDone;
+  if (!is_accepted) co_return load_outcome::kRetryLater;
   const time_point started = clock_.Now();
   co_await net::Sleep(
-      std::chrono::duration_cast<milliseconds>(kFirstLookShare * load_time_));
-  while (clock_.Now() - started < kLoadLimit && group_.IsServing()) {
+      std::chrono::duration_cast<milliseconds>(kFirstReportShare * load_time_));
+  while (clock_.Now() - started < kLoadTimeout && group_.IsServing()) {
     const auto after = co_await Report(target);
     if (after) {
-      NoteReport(load, *after);
+      RecordReport(load, *after);
       if (VersionAt(book_, load.incarnation, load.target.model).value_or(0) >=
           load.target.version) {
         const auto took =
             std::chrono::duration_cast<milliseconds>(clock_.Now() - started);
-        load_time_ += (took - load_time_) / kSmoothing;
-        co_return load_end::kDone;
+        load_time_ += (took - load_time_) / kSmoothingDivisor;
+        co_return load_outcome::kDone;
       }
-      // Not answered and not under way: it may still come, but its precondition
-      // stops it once another order was taken.
-      if (!outcome && !after->is_busy) co_return load_end::kRetryLater;
+      // The order got no response and is not being executed. It may still
+      // arrive, but its precondition fails once another order was accepted.
+      if (!outcome && !after->is_busy) co_return load_outcome::kRetryLater;
     }
-    co_await net::Sleep(kNextLook);
+    co_await net::Sleep(kReportPeriod);
   }
-  co_return load_end::kRetryLater;
+  co_return load_outcome::kRetryLater;
 }
 
 awaitable<std::optional<fleet::endpoint_report>> weight_keeper::Report(
@@ -218,11 +220,11 @@
       co_await net::Call(pool_, target.address, input, options);
   if (result.how != net::progress::kAnswered) co_return std::nullopt;
   auto report = wire_.DecodeReport(result.answer);
-  // The engine has started again under its name: what it reports is of another
-  // start, which has its own place in the book.
-  const bool is_other =
+  // The report is of another incarnation under the same name, which has its own
+  // entry in the table.
+  const bool is_other_incarnation =
       report && report->started_ms && *report->started_ms != target.started_ms;
-  if (is_other) co_return std::nullopt;
+  if (is_other_incarnation) co_return std::nullopt;
   co_return report;
 }
 
@@ -257,8 +259,8 @@
   co_return outcome;
 }
 
-void weight_keeper::NoteReport(const planned_load& load,
-                               const fleet::endpoint_report& report) {
+void weight_keeper::RecordReport(const planned_load& load,
+                                 const fleet::endpoint_report& report) {
   for (const fleet::model_version& item : report.models) {
     RecordVersion(book_, load.incarnation, item.model, item.version);
   }
--- a/packages/controller/weight_keeper.h
+++ b/packages/controller/weight_keeper.h
@@ -1,11 +1,12 @@
 #ifndef HICKORYWOOD_CONTROLLER_WEIGHT_KEEPER_H_
 #define HICKORYWOOD_CONTROLLER_WEIGHT_KEEPER_H_
 
-// Brings the engines to the published versions, while this instance leads.
-// Orders carry the leader's term as fencing token and the number of orders that
-// the engine has taken as precondition: an order that was not answered may be
-// carried out seconds later, and then must not undo a newer one. Whether a load
-// is done is read from the engine's own report, never assumed.
+// Orders the loads that bring the engines to the published versions, while this
+// instance leads. Each order contains the term of the leader as its fencing
+// token, and the number of orders that the engine has accepted as its
+// precondition: an order without a response may be executed seconds later, and
+// must not undo a newer one then. A load counts as done only when the engine
+// reports the version.
 
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/io_context.hpp>
@@ -28,8 +29,8 @@
 
 struct weight_keeper_options {
   std::string holder;  // name of this instance in orders
-  // Time after an election before the first order: orders of two leaders in
-  // touch must not alternate within it.
+  // Time between an election and the first order. Orders of two leaders that
+  // both reach an engine must not alternate within it.
   std::chrono::milliseconds holder_lease{3000};
 };
 
@@ -42,31 +43,31 @@
                 weight_keeper_options options);
 
   void Start();
-  // A version was published, an endpoint came or went, or this instance began
-  // to lead.
+  // Triggers a planning round. Called when a version was published, an endpoint
+  // joined or left, or this instance became the leader.
   void Wake() { wake_.Notify(); }
 
-  // Called when an engine's version changed, and when it begins or ends to
-  // load.
+  // Called when the version of an engine changed, and when a load begins or
+  // ends.
   std::function<void()> on_change;
 
  private:
-  enum class load_end { kDone, kRetryLater, kFenced, kUnreachable };
+  enum class load_outcome { kDone, kRetryLater, kFenced, kUnreachable };
 
   boost::asio::awaitable<void> KeepPlanning();
   void PlanService(const fleet::service& service);
   void StartLoad(const planned_load& load);
-  boost::asio::awaitable<load_end> Load(planned_load load,
-                                        fleet::endpoint target);
+  boost::asio::awaitable<load_outcome> Load(planned_load load,
+                                            fleet::endpoint target);
   boost::asio::awaitable<std::optional<fleet::endpoint_report>> Report(
       const fleet::endpoint& target);
   boost::asio::awaitable<std::optional<fleet::order_outcome>> Order(
       const planned_load& load, const fleet::endpoint& target,
       uint64_t expected_sequence);
   bool MayOrder() const;
-  void NotePublications();
-  void NoteReport(const planned_load& load,
-                  const fleet::endpoint_report& report);
+  void RecordPublications();
+  void RecordReport(const planned_load& load,
+                    const fleet::endpoint_report& report);
 
   boost::asio::io_context& loop_;
   const core::runtime_clock& clock_;
@@ -78,16 +79,16 @@
   weight_book& book_;
   const weight_keeper_options options_;
   net::event wake_;
-  std::set<std::string> under_way_;  // incarnations with a load not seen done
+  std::set<std::string> loads_in_progress_;  // by incarnation
   struct publication {
     uint64_t version = 0;
-    core::time_point seen_at{};
+    core::time_point published_at{};
     core::milliseconds period{4000};  // smoothed
   };
   std::map<std::string, publication> publications_;  // by model
-  core::milliseconds load_time_{1000};  // smoothed, of loads seen done
-  std::map<std::string, core::time_point> avoid_until_;  // by incarnation
-  std::map<std::string, core::time_point> lost_until_;   // by incarnation
+  core::milliseconds load_time_{1000};  // smoothed, of completed loads
+  std::map<std::string, core::time_point> avoid_until_;        // by incarnation
+  std::map<std::string, core::time_point> unreachable_until_;  // by incarnation
 };
 
 }  // namespace hickorywood::controller
