--- a/packages/fleet/configuration.cc
+++ b/packages/fleet/configuration.cc
@@ -14,24 +14,24 @@
 
 void CheckRoute(const configuration& config, const route& where,
                 std::vector<std::string>& findings) {
-  const std::string place = "route '" + where.name + "': ";
+  const std::string label = "route '" + where.name + "': ";
   if (where.timeout_ms <= 0) {
-    findings.push_back(place + "the timeout is not above 0");
+    findings.push_back(label + "the timeout is not above 0");
   }
   if (where.services.empty() || TotalWeight(where) <= 0) {
-    findings.push_back(place + "the weights add up to 0");
+    findings.push_back(label + "the weights add up to 0");
   }
   for (const weighted_service& item : where.services) {
-    if (item.weight < 0) findings.push_back(place + "a weight is below 0");
+    if (item.weight < 0) findings.push_back(label + "a weight is below 0");
     if (FindService(config, item.service) == nullptr) {
-      findings.push_back(place + "unknown service '" + item.service + "'");
+      findings.push_back(label + "unknown service '" + item.service + "'");
     }
   }
-  const bool is_closed = !where.path_prefix.empty() &&
-                         where.path_prefix.front() == '/' &&
-                         where.path_prefix.back() == '/';
-  if (!is_closed) {
-    findings.push_back(place + "the prefix does not begin and end with '/'");
+  const bool has_slashes = !where.path_prefix.empty() &&
+                           where.path_prefix.front() == '/' &&
+                           where.path_prefix.back() == '/';
+  if (!has_slashes) {
+    findings.push_back(label + "the prefix does not begin and end with '/'");
   }
 }
 
@@ -40,10 +40,10 @@
 std::vector<std::string> CheckConfiguration(const configuration& config) {
   std::vector<std::string> findings;
   if (config.version == 0) findings.push_back("the version is not above 0");
-  std::set<std::pair<std::string, std::string>> places;
+  std::set<std::pair<std::string, std::string>> prefixes;
   for (const route& where : config.routes) {
     CheckRoute(config, where, findings);
-    if (!places.emplace(where.host, where.path_prefix).second) {
+    if (!prefixes.emplace(where.host, where.path_prefix).second) {
       findings.push_back("route '" + where.name +
                          "': another route has its host and prefix");
     }
@@ -51,7 +51,7 @@
   std::set<std::string> names;
   for (const service& item : config.services) {
     if (!names.insert(item.name).second) {
-      findings.push_back("service '" + item.name + "' stands twice");
+      findings.push_back("service '" + item.name + "' is listed twice");
     }
   }
   return findings;
--- a/packages/fleet/configuration.h
+++ b/packages/fleet/configuration.h
@@ -1,8 +1,8 @@
 #ifndef HICKORYWOOD_FLEET_CONFIGURATION_H_
 #define HICKORYWOOD_FLEET_CONFIGURATION_H_
 
-// The configuration of a deployment: which requests go to which service, and
-// under which terms.
+// The configuration of a deployment: which requests are routed to which
+// service, and under which conditions.
 
 #include <cstdint>
 #include <optional>
@@ -14,12 +14,12 @@
 
 namespace hickorywood::fleet {
 
-// What may be repeated of a route's requests.
+// Whether a request of a route may run more than once.
 enum class route_kind {
   kIdempotent,     // may run more than once
   kNonIdempotent,  // runs at most once for each request
-  kStream,         // answered by a series of events
-  kRollout,  // a step: many tasks that are submitted at once and run later
+  kStream,         // the response is a stream of events
+  kRollout,        // a step: many tasks, submitted in one request and run later
 };
 NLOHMANN_JSON_SERIALIZE_ENUM(route_kind,
                              {{route_kind::kNonIdempotent, "non_idempotent"},
@@ -41,12 +41,12 @@
   std::string path_prefix;
   route_kind kind = route_kind::kNonIdempotent;
   std::vector<weighted_service> services;
-  int64_t timeout_ms = 0;    // longest time that a request may be kept waiting
+  int64_t timeout_ms = 0;    // time limit of a request
   int64_t objective_ms = 0;  // latency that the callers expect
   int64_t priority = 0;      // 0 is the most urgent
-  int64_t max_attempts = 1;  // endpoints that one request may be sent to
+  int64_t max_attempts = 1;  // endpoints that a request may be sent to
   int64_t due_ms = 0;        // steps: time from submission to the last result
-  int64_t task_lifetime_ms = 0;  // steps: age from which a task may be given up
+  int64_t task_lifetime_ms = 0;  // steps: age at which a task may be abandoned
   bool is_single_version = false;  // steps: one weight version per result
   bool is_resumable = false;
 };
@@ -57,7 +57,7 @@
                                                 task_lifetime_ms,
                                                 is_single_version, is_resumable)
 
-// What the endpoints of a service are, where they are model engines.
+// The capacity of the endpoints of a service that are model engines.
 struct engine_shape {
   int64_t slots = 0;  // requests in one batch
   int64_t kv_tokens = 0;
@@ -77,7 +77,7 @@
                                                 max_connections, has_engines,
                                                 engine)
 
-// Bounds on what a caller may send; 0: the listener's own.
+// Limits of a caller's requests; 0: the default of the listener.
 struct request_limits {
   int64_t header_bytes = 0;
   int64_t body_bytes = 0;
@@ -97,20 +97,20 @@
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(configuration, version, routes,
                                                 services, limits)
 
-// All that makes a configuration impossible to obey: routes to services that
-// are not there, two routes at one place, weights that add up to nothing, no
-// time to answer in. Empty: it is valid.
+// Returns the faults of a configuration: routes to unknown services, two routes
+// with the same host and prefix, weights with the sum 0, a timeout of 0. Empty:
+// the configuration is valid.
 std::vector<std::string> CheckConfiguration(const configuration& config);
 
-// The route of a request: among those of its host the one with the longest
-// prefix of its path. nullptr: none.
+// Returns the route of a request: among those of its host the one with the
+// longest prefix of its path. nullptr: none.
 const route* FindRoute(const configuration& config, std::string_view host,
                        std::string_view path);
 
 const service* FindService(const configuration& config, std::string_view name);
 
-// The service that takes a request of `where`, drawn by weight with `draw` in
-// [0, 1). Empty when all weights are 0.
+// Selects the service for a request of the route `where` by weight, with `draw`
+// in [0, 1). Returns an empty name when all weights are 0.
 std::string_view DrawService(const route& where, double draw);
 
 }  // namespace hickorywood::fleet
--- a/tests/unit/fleet/configuration_test.cc
+++ b/tests/unit/fleet/configuration_test.cc
@@ -36,7 +36,7 @@
   EXPECT_EQ(FindRoute(config, "host", "/xy/"), nullptr);
 }
 
-TEST(ConfigurationTest, EachFaultIsFound) {
+TEST(ConfigurationTest, EachFaultIsReported) {
   EXPECT_TRUE(CheckConfiguration(MakeConfiguration(1)).empty());
   configuration unknown = MakeConfiguration(1);
   unknown.routes[0].services[0].service = "c";
@@ -63,9 +63,10 @@
   EXPECT_EQ(DrawService(where, 1.0), "c");
 }
 
-// A process follows a new leader, and then a late answer of the old one comes
-// in. Neither its list nor its configuration may step back.
-TEST(ConfigurationTest, ViewsNeverStepBack) {
+// A process receives an update of a new leader, and then a delayed one of the
+// previous leader. Neither its list nor its configuration may return to an
+// older version.
+TEST(ConfigurationTest, ViewsNeverReturnToAnOlderVersion) {
   view held;
   view_update update;
   update.version = {2, 1};
