--- a/packages/fleet/endpoint_registry.cc
+++ b/packages/fleet/endpoint_registry.cc
@@ -24,45 +24,47 @@
   return item;
 }
 
-// Whether a heartbeat of an incarnation whose address another one took counts.
-// Delayed heartbeats of a process that is gone come in once; a process that
-// lives and was replaced by mistake goes on with rising sequence.
-bool IsBack(endpoint_registry& registry, const heartbeat& input) {
+// Whether to apply a heartbeat of an incarnation whose address another one
+// announced. Delayed heartbeats of a terminated process arrive once. A live
+// process that was replaced by mistake sends further heartbeats with increasing
+// sequence.
+bool HasResumed(endpoint_registry& registry, const heartbeat& input) {
   const auto found = registry.superseded.find(IncarnationOf(input));
   if (found == registry.superseded.end()) return true;
-  const bool has_gone_on = input.sequence > found->second + 1;
-  if (!has_gone_on) return false;
+  const bool has_continued = input.sequence > found->second + 1;
+  if (!has_continued) return false;
   registry.superseded.erase(found);
   return true;
 }
 
-// Whether a heartbeat is of the newest start of its name, and keeps count of
-// the starts.
-bool IsNewestStart(endpoint_registry& registry, const heartbeat& input,
-                   core::time_point now) {
-  known_start& known = registry.starts[input.name];
+// Whether a heartbeat is of the newest incarnation of its name. Updates the
+// history of the name.
+bool IsNewestIncarnation(endpoint_registry& registry, const heartbeat& input,
+                         core::time_point now) {
+  known_start& known = registry.incarnations[input.name];
   if (input.started_ms >= known.started_ms) {
     known = {input.started_ms, now};
     return true;
   }
-  if (now - known.heard_at < registry.options.silent_after) return false;
-  const bool goes_on = known.doubted_ms == input.started_ms &&
-                       input.sequence > known.doubted_sequence;
-  if (!goes_on) {
-    known.doubted_ms = input.started_ms;
-    known.doubted_since = now;
+  if (now - known.last_heartbeat_at < registry.options.silent_after)
+    return false;
+  const bool is_next_of_candidate = known.candidate_ms == input.started_ms &&
+                                    input.sequence > known.candidate_sequence;
+  if (!is_next_of_candidate) {
+    known.candidate_ms = input.started_ms;
+    known.candidate_since = now;
   }
-  known.doubted_sequence = input.sequence;
-  // What was held up on the way comes in within moments; a process that lives
-  // goes on.
-  if (now - known.doubted_since < registry.options.silent_after) return false;
+  known.candidate_sequence = input.sequence;
+  // Delayed heartbeats arrive within a short time; a live process sends
+  // heartbeats for longer.
+  if (now - known.candidate_since < registry.options.silent_after) return false;
   known = {input.started_ms, now};
   return true;
 }
 
-// An address belongs to the incarnation that announced it last, and a name to
-// its newest start.
-void TakePlace(endpoint_registry& registry, const heartbeat& input) {
+// Removes other endpoints with the same address or name: an address belongs to
+// the incarnation that announced it last, and a name to its newest incarnation.
+void ReplaceOthers(endpoint_registry& registry, const heartbeat& input) {
   const std::string incarnation = IncarnationOf(input);
   auto& endpoints = registry.endpoints;
   for (auto item = endpoints.begin(); item != endpoints.end();) {
@@ -85,7 +87,7 @@
   return started_ms == 0 ? name : name + "@" + std::to_string(started_ms);
 }
 
-// The name and the start follow from the incarnation.
+// The incarnation determines the name and the start time.
 bool operator==(const endpoint& left, const endpoint& right) {
   const auto fields = [](const endpoint& item) {
     return std::tie(item.incarnation, item.service, item.address, item.zone,
@@ -111,21 +113,22 @@
                    core::time_point now) {
   const std::string incarnation = IncarnationOf(input);
   if (registry.departed.count(incarnation) != 0) return false;
-  if (!IsNewestStart(registry, input, now)) return false;
+  if (!IsNewestIncarnation(registry, input, now)) return false;
   const auto known = registry.endpoints.find(incarnation);
   if (known != registry.endpoints.end()) {
     if (input.sequence <= known->second.sequence) return false;
-  } else if (!IsBack(registry, input)) {
+  } else if (!HasResumed(registry, input)) {
     return false;
   }
-  // One that is known under this address has taken its place before. Looking at
-  // all endpoints for each heartbeat is quadratic in them.
-  const bool has_place = known != registry.endpoints.end() &&
-                         known->second.item.address == input.address;
-  if (!has_place) TakePlace(registry, input);
+  // An endpoint that is listed with this address has replaced the others
+  // before. A search of all endpoints for each heartbeat would take quadratic
+  // time.
+  const bool has_replaced_others = known != registry.endpoints.end() &&
+                                   known->second.item.address == input.address;
+  if (!has_replaced_others) ReplaceOthers(registry, input);
   registered_endpoint& entry = registry.endpoints[incarnation];
   endpoint fresh = ToEndpoint(input);
-  // An endpoint that said it is leaving does not come back under the same id.
+  // A draining endpoint does not become ready again in the same incarnation.
   if (entry.item.state == endpoint_state::kDraining) {
     fresh.state = endpoint_state::kDraining;
   }
@@ -139,25 +142,25 @@
   const auto known = registry.endpoints.find(input.incarnation);
   if (known == registry.endpoints.end()) return false;
   registered_endpoint& entry = known->second;
-  // A silent one that is back changes the list, as its heartbeat would.
+  // The return of an unresponsive endpoint changes the list, which needs its
+  // heartbeat.
   if (entry.item.state == endpoint_state::kSilent) return false;
   if (input.sequence <= entry.sequence) return true;
   entry.sequence = input.sequence;
-  entry.heard_at = now;
-  known_start& start = registry.starts[entry.item.name];
-  if (start.started_ms == entry.item.started_ms) start.heard_at = now;
+  entry.last_heartbeat_at = now;
+  known_start& start = registry.incarnations[entry.item.name];
+  if (start.started_ms == entry.item.started_ms) start.last_heartbeat_at = now;
   return true;
 }
 
 bool TakeLeave(endpoint_registry& registry, const departure& input,
                core::time_point now) {
-  // One that does not say when it started speaks for the newest start.
-  const auto known = registry.starts.find(input.name);
-  const bool speaks_for_newest =
-      input.started_ms == 0 && known != registry.starts.end();
-  const std::string incarnation =
-      IncarnationOf(input.name, speaks_for_newest ? known->second.started_ms
-                                                  : input.started_ms);
+  // A departure without a start time refers to the newest incarnation.
+  const auto known = registry.incarnations.find(input.name);
+  const bool is_of_newest =
+      input.started_ms == 0 && known != registry.incarnations.end();
+  const std::string incarnation = IncarnationOf(
+      input.name, is_of_newest ? known->second.started_ms : input.started_ms);
   registry.departed[incarnation] = now;
   registry.superseded.erase(incarnation);
   return registry.endpoints.erase(incarnation) != 0;
@@ -169,13 +172,13 @@
   auto& endpoints = registry.endpoints;
   for (auto item = endpoints.begin(); item != endpoints.end();) {
     registered_endpoint& entry = item->second;
-    const auto silence = now - entry.heard_at;
-    if (silence >= options.forget_after) {
+    const auto time_since_heartbeat = now - entry.last_heartbeat_at;
+    if (time_since_heartbeat >= options.forget_after) {
       item = endpoints.erase(item);
       is_changed = true;
       continue;
     }
-    if (silence >= options.silent_after &&
+    if (time_since_heartbeat >= options.silent_after &&
         entry.item.state == endpoint_state::kReady) {
       entry.item.state = endpoint_state::kSilent;
       is_changed = true;
@@ -183,10 +186,10 @@
     ++item;
   }
   std::erase_if(registry.departed, [&](const auto& item) {
-    return now - item.second >= options.remember_departed;
+    return now - item.second >= options.departed_retention;
   });
-  std::erase_if(registry.starts, [&](const auto& item) {
-    return now - item.second.heard_at >= options.remember_departed;
+  std::erase_if(registry.incarnations, [&](const auto& item) {
+    return now - item.second.last_heartbeat_at >= options.departed_retention;
   });
   return is_changed;
 }
@@ -197,8 +200,8 @@
   for (const endpoint& item : endpoints) {
     registered_endpoint& entry = registry.endpoints[item.incarnation];
     entry.item = item;
-    entry.heard_at = now;
-    registry.starts[item.name] = {item.started_ms, now};
+    entry.last_heartbeat_at = now;
+    registry.incarnations[item.name] = {item.started_ms, now};
   }
 }
 
--- a/packages/fleet/endpoint_registry.h
+++ b/packages/fleet/endpoint_registry.h
@@ -1,8 +1,8 @@
 #ifndef HICKORYWOOD_FLEET_ENDPOINT_REGISTRY_H_
 #define HICKORYWOOD_FLEET_ENDPOINT_REGISTRY_H_
 
-// The endpoints that are known from their heartbeats. Soft state: a new leader
-// starts from the copy that it followed, and heartbeats bring it up to date.
+// The endpoints that send heartbeats. Soft state: a new leader starts from its
+// copy of the view, and heartbeats update it.
 
 #include <chrono>
 #include <cstdint>
@@ -21,13 +21,13 @@
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(model_version, model, version)
 
-// Names one start of an endpoint, for all that is kept of it. An endpoint may
-// start again under its name, and then holds and knows nothing of before.
-// `started_ms` is the Unix time of the start by the endpoint's own clock; 0: it
-// does not say, and each start has a name of its own.
+// Returns the identifier of one incarnation of an endpoint. An endpoint may
+// restart under its name, and then has none of its former state. `started_ms`
+// is the Unix time of the start by the clock of the endpoint; 0: the endpoint
+// does not report it, and has another name in each incarnation.
 std::string IncarnationOf(const std::string& name, int64_t started_ms);
 
-// What an endpoint says of itself.
+// The state that an endpoint reports periodically.
 struct heartbeat {
   std::string name;
   int64_t started_ms = 0;
@@ -36,8 +36,8 @@
   std::string zone;
   int64_t slots = 0;
   bool is_draining = false;
-  int64_t warming_ms = 0;  // how much longer it is slow after its start
-  uint64_t sequence = 0;   // rises with each heartbeat
+  int64_t warming_ms = 0;  // remaining time of its slow phase after the start
+  uint64_t sequence = 0;   // increases with each heartbeat
   std::vector<model_version> models;
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(heartbeat, name, started_ms,
@@ -47,7 +47,7 @@
 
 bool operator==(const heartbeat& left, const heartbeat& right);
 
-// An endpoint goes on as it last said: a heartbeat that has nothing new but its
+// A heartbeat that equals the previous one of its incarnation but for the
 // sequence.
 struct heartbeat_refresh {
   std::string incarnation;
@@ -56,17 +56,17 @@
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(heartbeat_refresh, incarnation,
                                                 sequence)
 
-// An endpoint says that it is going.
+// An endpoint reports that it is leaving.
 struct departure {
   std::string name;
-  int64_t started_ms = 0;  // 0: it does not say
+  int64_t started_ms = 0;  // 0: not reported
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(departure, name, started_ms)
 
 enum class endpoint_state {
   kReady,
-  kDraining,  // takes no new work
-  kSilent,    // no heartbeat for a while: it may serve all the same
+  kDraining,  // accepts no new work
+  kSilent,    // no heartbeat within the timeout; it may still serve
 };
 NLOHMANN_JSON_SERIALIZE_ENUM(endpoint_state,
                              {{endpoint_state::kReady, "ready"},
@@ -74,8 +74,8 @@
                               {endpoint_state::kSilent, "silent"}})
 
 struct endpoint {
-  std::string incarnation;  // of one start, see IncarnationOf()
-  std::string name;         // what it answers to
+  std::string incarnation;  // see IncarnationOf()
+  std::string name;         // under which it accepts requests
   int64_t started_ms = 0;
   std::string service;
   std::string address;
@@ -90,64 +90,70 @@
 bool operator==(const endpoint& left, const endpoint& right);
 
 struct registry_options {
-  // Three heartbeats and a second of delay.
+  // Three heartbeats and a second for delays.
   std::chrono::milliseconds silent_after{4600};
-  // A silent endpoint is kept this long: a cut between it and the control group
-  // can last, and its callers may reach it all the while.
+  // How long an unresponsive endpoint stays in the list: a network partition
+  // between it and the control group can last, while its callers may still
+  // reach it.
   std::chrono::milliseconds forget_after{60000};
-  // How long an incarnation that left is remembered, so that a heartbeat that
-  // was under way can't bring it back.
-  std::chrono::milliseconds remember_departed{120000};
+  // How long an incarnation that left is recorded, so that a delayed heartbeat
+  // does not add it again.
+  std::chrono::milliseconds departed_retention{120000};
 };
 
 struct registered_endpoint {
   endpoint item;
   uint64_t sequence = 0;
-  core::time_point heard_at{};
+  core::time_point last_heartbeat_at{};
 };
 
-// The newest start of a name, and one with an older time that goes on talking.
+// The newest incarnation of a name, and an older one (by its start time) that
+// still sends heartbeats and may turn out to be the live one.
 struct known_start {
   int64_t started_ms = 0;
-  core::time_point heard_at{};
-  int64_t doubted_ms = 0;  // 0: none
-  core::time_point doubted_since{};
-  uint64_t doubted_sequence = 0;
+  core::time_point last_heartbeat_at{};
+  int64_t candidate_ms = 0;  // start of the older one; 0: none
+  core::time_point candidate_since{};
+  uint64_t candidate_sequence = 0;
 };
 
 struct endpoint_registry {
   registry_options options;
   std::map<std::string, registered_endpoint> endpoints;  // by incarnation
   std::map<std::string, core::time_point> departed;      // by incarnation
-  // Incarnations whose address another one took, with their latest sequence.
+  // Incarnations whose address another incarnation announced, with their latest
+  // sequence.
   std::map<std::string, uint64_t> superseded;
-  std::map<std::string, known_start> starts;  // by name
+  std::map<std::string, known_start> incarnations;  // by name
 };
 
-// Takes a heartbeat. True when the list of endpoints changed by it. Heartbeats
-// that are older than one taken before, or of an incarnation that is gone,
-// change nothing. So do those of an older start than the newest known of their
-// name: they were under way when it started again. Only when the newest has
-// been silent, and the older one has gone on with rising sequence for as long,
-// it is taken: then its clock was set back before it started.
+// Applies a heartbeat. Returns true when the list of endpoints changed.
+// Heartbeats that are older than an applied one, or of an incarnation that
+// left, are ignored. So are those of an older incarnation than the newest one
+// of their name, since they were in transit when the endpoint restarted. There
+// is one exception: when the newest incarnation has been unresponsive, and the
+// older one has sent heartbeats with increasing sequence for as long, the older
+// one is accepted, because its clock was set back before it started.
 bool TakeHeartbeat(endpoint_registry& registry, const heartbeat& input,
                    core::time_point now);
 
-// Takes a refresh as the heartbeat that it stands for. False when no such
-// endpoint is known: its heartbeat is wanted whole.
+// Applies a refresh like the heartbeat that it stands for. Returns false when
+// the complete heartbeat is needed: there is no such endpoint, or it was
+// unresponsive.
 bool Refresh(endpoint_registry& registry, const heartbeat_refresh& input,
              core::time_point now);
 
-// Takes the word of an endpoint that it is going; that of an older start takes
-// out no newer one. True when the list changed.
+// Removes an endpoint that reports its departure. The departure of an older
+// incarnation does not remove a newer one. Returns true when the list changed.
 bool TakeLeave(endpoint_registry& registry, const departure& input,
                core::time_point now);
 
-// Marks and forgets endpoints that fell silent. True when the list changed.
+// Marks unresponsive endpoints, and removes them after a while. Returns true
+// when the list changed.
 bool ExpireEndpoints(endpoint_registry& registry, core::time_point now);
 
-// Fills an empty registry from a list that was followed: the endpoints count as
-// heard at `now`.
+// Fills an empty registry from the list of a view. The time of their last
+// heartbeat is set to `now`.
 void AdoptEndpoints(endpoint_registry& registry,
                     const std::vector<endpoint>& endpoints,
                     core::time_point now);
--- a/tests/unit/fleet/endpoint_registry_test.cc
+++ b/tests/unit/fleet/endpoint_registry_test.cc
@@ -33,8 +33,9 @@
   EXPECT_EQ(registry.endpoints.at("a").item.state, endpoint_state::kDraining);
 }
 
-// An endpoint says that it drains; a later heartbeat of a confused process says
-// ready again. New work must not go there: it may be gone any moment.
+// An endpoint reports that it is draining; a later heartbeat of a faulty
+// process reports that it is ready. It must get no new work, since it may
+// terminate at any moment.
 TEST(EndpointRegistryTest, DrainingIsFinal) {
   endpoint_registry registry;
   heartbeat draining = Beat("a", 1);
@@ -44,9 +45,9 @@
   EXPECT_EQ(registry.endpoints.at("a").item.state, endpoint_state::kDraining);
 }
 
-// An endpoint left; a heartbeat that was held up on the way comes in after it.
-// The endpoint must not come back: nobody serves at its address any more.
-TEST(EndpointRegistryTest, LateHeartbeatDoesNotBringALeaverBack) {
+// An endpoint left, and a delayed heartbeat arrives afterwards. The endpoint
+// must not be listed again: no process serves at its address any more.
+TEST(EndpointRegistryTest, DelayedHeartbeatDoesNotRestoreADepartedEndpoint) {
   endpoint_registry registry;
   TakeHeartbeat(registry, Beat("a", 1), kStart);
   EXPECT_TRUE(TakeLeave(registry, {"a"}, kStart));
@@ -54,9 +55,9 @@
   EXPECT_TRUE(registry.endpoints.empty());
 }
 
-// An endpoint crashed and a new incarnation took its address. A delayed
-// heartbeat of the old one arrives: callers must go on using the new one.
-TEST(EndpointRegistryTest, DelayedHeartbeatDoesNotTakeTheAddressBack) {
+// An endpoint crashed and a new incarnation announced its address. A delayed
+// heartbeat of the old one arrives: callers must continue to use the new one.
+TEST(EndpointRegistryTest, DelayedHeartbeatDoesNotReclaimTheAddress) {
   endpoint_registry registry;
   TakeHeartbeat(registry, Beat("old", 7), kStart);
   TakeHeartbeat(registry, Beat("new", 1), kStart + seconds(4));
@@ -65,10 +66,10 @@
   EXPECT_EQ(registry.endpoints.count("new"), 1U);
 }
 
-// The first heartbeat of an incarnation that is long gone comes in late and
-// takes the address for a moment. The live one goes on sending and gets it
-// back.
-TEST(EndpointRegistryTest, LiveIncarnationGetsItsAddressBack) {
+// A delayed first heartbeat of an incarnation that terminated long ago arrives
+// and replaces the live incarnation at the address. The live one continues to
+// send heartbeats and is listed again.
+TEST(EndpointRegistryTest, LiveIncarnationReclaimsItsAddress) {
   endpoint_registry registry;
   TakeHeartbeat(registry, Beat("live", 10), kStart);
   TakeHeartbeat(registry, Beat("ghost", 3), kStart + seconds(1));
@@ -79,9 +80,10 @@
   EXPECT_EQ(registry.endpoints.count("ghost"), 0U);
 }
 
-// The path from an endpoint to the control group is cut while callers reach it.
-// It is marked, not dropped, and only a long silence ends it.
-TEST(EndpointRegistryTest, SilenceMarksAndOnlyLongSilenceForgets) {
+// The network between an endpoint and the control group is partitioned while
+// callers can reach it. It is marked as unresponsive, and removed only after a
+// long time.
+TEST(EndpointRegistryTest, UnresponsiveEndpointIsMarkedAndRemovedMuchLater) {
   endpoint_registry registry;
   TakeHeartbeat(registry, Beat("a", 1), kStart);
   EXPECT_FALSE(ExpireEndpoints(registry, kStart + milliseconds(4599)));
@@ -93,9 +95,9 @@
   EXPECT_TRUE(registry.endpoints.empty());
 }
 
-// A new leader knows the endpoints only from the view that it followed. Their
-// next heartbeat must count, whatever its sequence.
-TEST(EndpointRegistryTest, AdoptedEndpointsTakeTheNextHeartbeat) {
+// A new leader has the endpoints only from the view that it followed. It must
+// apply their next heartbeat, with any sequence.
+TEST(EndpointRegistryTest, AdoptedEndpointsAcceptTheNextHeartbeat) {
   endpoint_registry before;
   TakeHeartbeat(before, Beat("a", 41), kStart);
   endpoint_registry after;
@@ -106,9 +108,7 @@
   EXPECT_EQ(after.endpoints.at("a").item.state, endpoint_state::kDraining);
 }
 
-// --- Starts of one endpoint under its name.
-
-heartbeat BeatOfStart(int64_t started_ms, uint64_t sequence) {
+heartbeat BeatOfIncarnation(int64_t started_ms, uint64_t sequence) {
   heartbeat input = Beat("a", sequence);
   input.started_ms = started_ms;
   return input;
@@ -119,108 +119,109 @@
   return list.size() == 1 ? list[0].incarnation : "";
 }
 
-// An endpoint crashes and starts again under its name; its count of heartbeats
-// starts anew. It is another incarnation, so that nothing kept of the old one
-// is taken for the new one's, and it is known from its first heartbeat on.
+// An endpoint crashes and restarts under its name, with a new sequence of
+// heartbeats. It is another incarnation: it is listed from its first heartbeat
+// on, and no record of the old one is attributed to it.
 TEST(EndpointRegistryTest, RestartUnderTheSameNameIsAnotherIncarnation) {
   endpoint_registry registry;
-  TakeHeartbeat(registry, BeatOfStart(1000, 40), kStart);
+  TakeHeartbeat(registry, BeatOfIncarnation(1000, 40), kStart);
   EXPECT_TRUE(
-      TakeHeartbeat(registry, BeatOfStart(2000, 1), kStart + seconds(1)));
+      TakeHeartbeat(registry, BeatOfIncarnation(2000, 1), kStart + seconds(1)));
   EXPECT_EQ(Listed(registry), IncarnationOf("a", 2000));
   EXPECT_EQ(registry.endpoints.begin()->second.item.name, "a");
 }
 
-// The endpoint was draining, or had left, when it was started again. The new
-// start is ready: what the old one said does not hold for it.
+// The endpoint was draining, or had left, when it restarted. The new
+// incarnation is ready: the state of the old one does not apply to it.
 TEST(EndpointRegistryTest, RestartEndsDrainingAndLeaving) {
   endpoint_registry registry;
-  heartbeat draining = BeatOfStart(1000, 1);
+  heartbeat draining = BeatOfIncarnation(1000, 1);
   draining.is_draining = true;
   TakeHeartbeat(registry, draining, kStart);
-  TakeHeartbeat(registry, BeatOfStart(2000, 1), kStart);
+  TakeHeartbeat(registry, BeatOfIncarnation(2000, 1), kStart);
   EXPECT_EQ(registry.endpoints.begin()->second.item.state,
             endpoint_state::kReady);
   EXPECT_TRUE(TakeLeave(registry, {"a", 2000}, kStart));
-  EXPECT_TRUE(TakeHeartbeat(registry, BeatOfStart(3000, 1), kStart));
+  EXPECT_TRUE(TakeHeartbeat(registry, BeatOfIncarnation(3000, 1), kStart));
   EXPECT_EQ(Listed(registry), IncarnationOf("a", 3000));
 }
 
-// A cut between an endpoint and the control group heals after the endpoint has
-// started again: heartbeats of the old start come in out of order, and its word
-// that it leaves. None of it changes anything.
-TEST(EndpointRegistryTest, NewsOfAnOlderStartChangesNothing) {
+// A network partition between an endpoint and the control group heals after the
+// endpoint has restarted. Heartbeats of the old incarnation, out of order, and
+// its departure arrive and change nothing.
+TEST(EndpointRegistryTest, HeartbeatsOfAnOlderIncarnationChangeNothing) {
   endpoint_registry registry;
-  TakeHeartbeat(registry, BeatOfStart(1000, 4), kStart);
-  TakeHeartbeat(registry, BeatOfStart(2000, 1), kStart);
+  TakeHeartbeat(registry, BeatOfIncarnation(1000, 4), kStart);
+  TakeHeartbeat(registry, BeatOfIncarnation(2000, 1), kStart);
   for (uint64_t sequence : {9, 7, 8, 12}) {
-    EXPECT_FALSE(TakeHeartbeat(registry, BeatOfStart(1000, sequence),
+    EXPECT_FALSE(TakeHeartbeat(registry, BeatOfIncarnation(1000, sequence),
                                kStart + seconds(1)));
   }
   EXPECT_FALSE(TakeLeave(registry, {"a", 1000}, kStart + seconds(1)));
   EXPECT_EQ(Listed(registry), IncarnationOf("a", 2000));
 }
 
-// The newer start has crashed too and is silent. Late news of the older one
-// comes in a burst, and must not bring it back.
-TEST(EndpointRegistryTest, BurstOfOldNewsRevivesNobody) {
+// The newer incarnation has crashed too and is unresponsive. Delayed heartbeats
+// of the older one arrive in a burst, and must not list it again.
+TEST(EndpointRegistryTest, BurstOfDelayedHeartbeatsRestoresNoEndpoint) {
   endpoint_registry registry;
-  TakeHeartbeat(registry, BeatOfStart(2000, 1), kStart);
+  TakeHeartbeat(registry, BeatOfIncarnation(2000, 1), kStart);
   for (uint64_t sequence = 1; sequence < 20; ++sequence) {
-    EXPECT_FALSE(TakeHeartbeat(registry, BeatOfStart(1000, sequence),
+    EXPECT_FALSE(TakeHeartbeat(registry, BeatOfIncarnation(1000, sequence),
                                kStart + seconds(10)));
   }
   EXPECT_EQ(Listed(registry), IncarnationOf("a", 2000));
 }
 
-// The clock of the machine was set back before the endpoint started again, so
-// that its start looks older. Nothing tells it from old news but that it goes
-// on: it is taken once the other one has been silent and it has gone on with
-// rising sequence for as long.
-TEST(EndpointRegistryTest, RestartUnderAClockSetBackIsTakenInTheEnd) {
+// The clock of the machine was set back before the endpoint restarted, so that
+// the new incarnation looks older. Only its continued heartbeats tell it from
+// delayed ones: it is accepted once the other incarnation has been unresponsive
+// and it has sent heartbeats with increasing sequence for as long.
+TEST(EndpointRegistryTest, RestartWithAClockSetBackIsAcceptedEventually) {
   endpoint_registry registry;
-  TakeHeartbeat(registry, BeatOfStart(2000, 50), kStart);
+  TakeHeartbeat(registry, BeatOfIncarnation(2000, 50), kStart);
   core::time_point now = kStart;
   uint64_t sequence = 0;
   while (Listed(registry) != IncarnationOf("a", 1000) && sequence < 100) {
     now += milliseconds(1200);
-    TakeHeartbeat(registry, BeatOfStart(1000, ++sequence), now);
+    TakeHeartbeat(registry, BeatOfIncarnation(1000, ++sequence), now);
   }
   EXPECT_EQ(Listed(registry), IncarnationOf("a", 1000));
   EXPECT_GE(now - kStart, 2 * registry.options.silent_after);
   EXPECT_LE(now - kStart, 3 * registry.options.silent_after);
 }
 
-// Repeats of one old heartbeat are no sign of life, however long they go on.
-TEST(EndpointRegistryTest, RepeatedOldHeartbeatIsNoSignOfLife) {
+// Repetitions of one old heartbeat never prove that the older incarnation is
+// alive.
+TEST(EndpointRegistryTest, RepeatedOldHeartbeatIsIgnored) {
   endpoint_registry registry;
-  TakeHeartbeat(registry, BeatOfStart(2000, 1), kStart);
+  TakeHeartbeat(registry, BeatOfIncarnation(2000, 1), kStart);
   for (int i = 0; i < 30; ++i) {
-    TakeHeartbeat(registry, BeatOfStart(1000, 7), kStart + seconds(i));
+    TakeHeartbeat(registry, BeatOfIncarnation(1000, 7), kStart + seconds(i));
   }
   EXPECT_EQ(Listed(registry), IncarnationOf("a", 2000));
 }
 
-// An endpoint that does not say when it started leaves without saying it.
-TEST(EndpointRegistryTest, LeaveWithoutAStartTakesOutTheNewest) {
+// An endpoint that does not report its start time leaves without it.
+TEST(EndpointRegistryTest, DepartureWithoutAStartTimeRemovesTheNewest) {
   endpoint_registry registry;
-  TakeHeartbeat(registry, BeatOfStart(2000, 1), kStart);
+  TakeHeartbeat(registry, BeatOfIncarnation(2000, 1), kStart);
   EXPECT_TRUE(TakeLeave(registry, {"a"}, kStart));
   EXPECT_TRUE(registry.endpoints.empty());
 }
 
-// A new leader knows from the view which start is the newest.
-TEST(EndpointRegistryTest, AdoptedStartsKeepOldNewsOut) {
+// A new leader has the newest incarnation of each name from the view.
+TEST(EndpointRegistryTest, AdoptedIncarnationsRejectOlderOnes) {
   endpoint_registry before;
-  TakeHeartbeat(before, BeatOfStart(2000, 1), kStart);
+  TakeHeartbeat(before, BeatOfIncarnation(2000, 1), kStart);
   endpoint_registry after;
   AdoptEndpoints(after, ListEndpoints(before), kStart);
-  EXPECT_FALSE(TakeHeartbeat(after, BeatOfStart(1000, 9), kStart));
+  EXPECT_FALSE(TakeHeartbeat(after, BeatOfIncarnation(1000, 9), kStart));
   EXPECT_EQ(Listed(after), IncarnationOf("a", 2000));
 }
 
-// A control instance tells in sums that endpoints go on. They are not thought
-// silent, as if each heartbeat had come by itself.
+// A control instance sends refreshes in place of heartbeats. The endpoint stays
+// ready, as it does with complete heartbeats.
 TEST(EndpointRegistryTest, RefreshKeepsAnEndpoint) {
   endpoint_registry registry;
   TakeHeartbeat(registry, Beat("a", 1), kStart);
@@ -232,17 +233,17 @@
   EXPECT_EQ(registry.endpoints.at("a").item.state, endpoint_state::kReady);
 }
 
-// A refresh that was held up says nothing of now.
-TEST(EndpointRegistryTest, OlderRefreshIsNoSignOfLife) {
+// A delayed refresh does not prove that the endpoint is alive now.
+TEST(EndpointRegistryTest, DelayedRefreshIsIgnored) {
   endpoint_registry registry;
   TakeHeartbeat(registry, Beat("a", 9), kStart);
   EXPECT_TRUE(Refresh(registry, {"a", 8}, kStart + seconds(10)));
   EXPECT_TRUE(ExpireEndpoints(registry, kStart + seconds(10)));
 }
 
-// Endpoints that are gone, displaced or silent are heard whole again: a refresh
-// tells neither their address nor that the list changes.
-TEST(EndpointRegistryTest, RefreshBringsNobodyBack) {
+// Endpoints that left, were replaced or are unresponsive must send a complete
+// heartbeat: a refresh contains no address, and can't change the list.
+TEST(EndpointRegistryTest, RefreshRestoresNoEndpoint) {
   endpoint_registry registry;
   TakeHeartbeat(registry, Beat("a", 1), kStart);
   TakeHeartbeat(registry, Beat("b", 1), kStart);  // at the same address
@@ -254,8 +255,8 @@
   EXPECT_TRUE(registry.endpoints.empty());
 }
 
-// An endpoint moves to an address that another one has.
-TEST(EndpointRegistryTest, AMovedEndpointTakesItsNewPlace) {
+// An endpoint changes its address to that of another one.
+TEST(EndpointRegistryTest, EndpointWithANewAddressReplacesTheOther) {
   endpoint_registry registry;
   TakeHeartbeat(registry, Beat("a", 1, "10.0.0.1:80"), kStart);
   TakeHeartbeat(registry, Beat("b", 1, "10.0.0.2:80"), kStart);
