--- a/packages/fleet/view.cc
+++ b/packages/fleet/view.cc
@@ -13,8 +13,8 @@
   return std::tie(item.incarnation, item.model);
 }
 
-// Puts `changes` into a list that is ordered as they are, in place of the items
-// of the same key.
+// Inserts `changes` into a list, in place of the items with the same key. Both
+// are sorted by key.
 template <typename Item>
 void Merge(std::vector<Item>& list, const std::vector<Item>& changes) {
   const auto is_before = [](const Item& left, const Item& right) {
@@ -22,23 +22,24 @@
   };
   std::vector<Item> merged;
   merged.reserve(list.size() + changes.size());
-  // Of two equal ones the first range's is kept.
+  // Of two items with the same key, that of the first range is used.
   std::set_union(changes.begin(), changes.end(), list.begin(), list.end(),
                  std::back_inserter(merged), is_before);
   list = std::move(merged);
 }
 
-// Takes the items with one of these keys off a list. One that went and came
-// back since stands in both and is put in again by Merge().
+// Removes the items with one of these keys from a list. An item that was
+// removed and added again since is in both parts of the update; Merge() inserts
+// it again.
 template <typename Item>
 void Remove(std::vector<Item>& list, const std::vector<std::string>& keys) {
-  const std::set<std::string> gone(keys.begin(), keys.end());
-  std::erase_if(list, [&gone](const Item& item) {
-    return gone.count(std::get<0>(KeyOf(item))) != 0;
+  const std::set<std::string> removed(keys.begin(), keys.end());
+  std::erase_if(list, [&removed](const Item& item) {
+    return removed.count(std::get<0>(KeyOf(item))) != 0;
   });
 }
 
-void TakeLists(view& held, const view_update& update) {
+void ApplyLists(view& held, const view_update& update) {
   if (update.lists == list_part::kAll) {
     held.endpoints = update.endpoints;
     held.warnings = update.warnings;
@@ -52,7 +53,7 @@
   if (update.has_members) held.members = update.members;
 }
 
-void TakeWeights(view& held, const view_update& update) {
+void ApplyWeights(view& held, const view_update& update) {
   if (update.weights_part == list_part::kNone) return;
   if (update.weights_part == list_part::kAll) held.weights = update.weights;
   if (update.weights_part == list_part::kChanges) {
@@ -76,8 +77,8 @@
   const bool is_newer_config =
       update.has_config && update.config.version > held.config.version;
   if (is_newer_config) held.config = update.config;
-  TakeLists(held, update);
-  TakeWeights(held, update);
+  ApplyLists(held, update);
+  ApplyWeights(held, update);
   held.version = update.version;
   return is_newer_config || update.lists != list_part::kNone ||
          update.weights_part != list_part::kNone;
--- a/packages/fleet/view.h
+++ b/packages/fleet/view.h
@@ -1,8 +1,8 @@
 #ifndef HICKORYWOOD_FLEET_VIEW_H_
 #define HICKORYWOOD_FLEET_VIEW_H_
 
-// What the control leader tells every other process, and the messages that
-// carry it.
+// The view that the control leader sends to every other process, and its
+// messages.
 
 #include <cstdint>
 #include <string>
@@ -35,13 +35,13 @@
   std::string incarnation;
   std::string model;
   uint64_t version = 0;
-  bool is_loading = false;  // takes no new runs of the model for now
+  bool is_loading = false;  // accepts no new runs of the model for now
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(engine_weights_entry,
                                                 incarnation, model, version,
                                                 is_loading)
 
-// An instance that keeps data.
+// An instance that stores data.
 struct store_entry {
   std::string instance;
   std::string address;  // peer address
@@ -52,12 +52,13 @@
   return left.instance == right.instance && left.address == right.address;
 }
 
-// The system's own instances that others must find.
+// The instances of this service that other processes connect to.
 struct view_members {
   std::vector<std::string> controllers;  // peer addresses of the control group
   std::vector<store_entry> stores;
-  std::string data_founder;  // peer address of the store that founds the group
-  std::string digest_key;    // under which instances name requests; empty: none
+  // Peer address of the store that bootstraps the data group.
+  std::string data_founder;
+  std::string digest_key;  // key of the request digests; empty: none yet
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(view_members, controllers,
                                                 stores, data_founder,
@@ -73,25 +74,25 @@
   std::vector<engine_weights_entry> weights;  // by incarnation and model
 };
 
-// How much of the engines the tasks of a model take.
+// The demand of the tasks of one model.
 struct model_demand {
   std::string model;
-  double streams = 0;  // that run at once, on average over the last seconds
+  double streams = 0;  // average of the concurrent ones in the last seconds
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(model_demand, model, streams)
 
-// A process asks for what changed since the version that it holds. The answer
-// is held back until there is a change or `wait_ms` has passed.
+// Requests the changes since the version that a process has. The response is
+// delayed until there is a change or `wait_ms` has passed.
 struct view_request {
   std::string instance;
   std::string address;     // peer address of a store; empty: not a store
   bool may_found = false;  // a store that starts for the first time
   bool wants_weights = false;
-  uint64_t held_weights = 0;  // count of the weights that it holds
+  uint64_t held_weights = 0;  // its version of the weights
   view_version held;
-  uint64_t held_config = 0;  // version of the configuration that it holds
+  uint64_t held_config = 0;  // its version of the configuration
   int64_t wait_ms = 0;
-  // Of the instance that runs the tasks; empty: it is not that one.
+  // Reported by the instance that runs the tasks; empty for all others.
   std::vector<model_demand> demands;
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(view_request, instance, address,
@@ -99,11 +100,11 @@
                                                 held_weights, held, held_config,
                                                 wait_ms, demands)
 
-// How a list stands in an update.
+// Which part of a list an update contains.
 enum class list_part {
-  kNone,     // the asker holds it
-  kAll,      // whole
-  kChanges,  // what changed since the version that the asker held
+  kNone,     // none: the requester has the list
+  kAll,      // the complete list
+  kChanges,  // the changes since the version of the requester
 };
 NLOHMANN_JSON_SERIALIZE_ENUM(list_part, {{list_part::kNone, 0},
                                          {list_part::kAll, 1},
@@ -111,14 +112,15 @@
 
 struct view_update {
   view_version version;
-  view_version base;        // that the asker held; changes count from it
-  bool has_config = false;  // left out when the asker holds it
+  view_version base;        // of the requester; changes are relative to it
+  bool has_config = false;  // false: the requester has it
   configuration config;
   list_part lists = list_part::kNone;  // endpoints and warnings
   std::vector<endpoint> endpoints;
-  std::vector<std::string> gone;  // incarnations; only among changes
+  std::vector<std::string> gone;  // removed incarnations; only with kChanges
   std::vector<request_warning> warnings;
-  std::vector<std::string> lifted;  // digests; only among changes
+  // Digests of removed warnings; only with kChanges.
+  std::vector<std::string> lifted;
   bool has_members = false;
   view_members members;
   list_part weights_part = list_part::kNone;
@@ -132,9 +134,10 @@
                                                 weights_part, weights_count,
                                                 weights)
 
-// Takes an update into a view. False when nothing changed by it, and when it is
-// older than the view or counts from a version that the view does not hold:
-// neither the lists nor the configuration ever step back within one process.
+// Applies an update to a view. Returns false when it changes nothing, and when
+// it is rejected: it is older than the view, or its changes are relative to
+// another version. So neither the lists nor the configuration of a process ever
+// return to an older version.
 bool ApplyUpdate(view& held, const view_update& update);
 
 }  // namespace hickorywood::fleet
