--- a/packages/fleet/view_log.cc
+++ b/packages/fleet/view_log.cc
@@ -6,10 +6,10 @@
 namespace hickorywood::fleet {
 namespace {
 
-// Endpoints, and warnings, that are remembered as gone: more than a deployment
-// exchanges while a process that goes on asking misses answers, and a few
-// hundred KB.
-constexpr size_t kMostGone = 4096;
+// Number of removals that are recorded, for endpoints and for warnings each:
+// more than a deployment has while a polling process misses responses, and a
+// few hundred KB.
+constexpr size_t kMaxRemovals = 4096;
 
 bool SameWeights(const engine_weights_entry& left,
                  const engine_weights_entry& right) {
@@ -22,75 +22,79 @@
          left.digest_key == right.digest_key;
 }
 
-// `gone`: items of `log` that went, in the order in which they did.
-void ForgetOldest(view_log& log, std::vector<told_item<std::string>>& gone) {
-  if (gone.size() <= kMostGone) return;
-  const size_t extra = gone.size() - kMostGone;
-  log.complete_from = std::max(log.complete_from, gone[extra - 1].changed_at);
-  gone.erase(gone.begin(), gone.begin() + static_cast<ptrdiff_t>(extra));
+// Evicts the oldest records of `removals`, which belong to `log`.
+void EvictOldest(view_log& log, std::vector<told_item<std::string>>& removals) {
+  if (removals.size() <= kMaxRemovals) return;
+  const size_t extra = removals.size() - kMaxRemovals;
+  log.complete_from =
+      std::max(log.complete_from, removals[extra - 1].changed_at);
+  removals.erase(removals.begin(),
+                 removals.begin() + static_cast<ptrdiff_t>(extra));
 }
 
-// Brings what was told to `items`, under the count `next`. True when something
-// changed; what is no longer there is added to `gone`.
+// Updates `recorded_items` to `items`, with `next` as their count. Returns true
+// when something changed; adds the removed items to `removals`.
 template <typename Item>
-bool TellItems(std::map<std::string, told_item<Item>>& told_items,
-               std::vector<told_item<std::string>>& gone,
-               const std::vector<Item>& items, std::string Item::*key,
-               uint64_t next) {
+bool UpdateItems(std::map<std::string, told_item<Item>>& recorded_items,
+                 std::vector<told_item<std::string>>& removals,
+                 const std::vector<Item>& items, std::string Item::*key,
+                 uint64_t next) {
   bool is_changed = false;
-  std::set<std::string> listed;
+  std::set<std::string> current;
   for (const Item& item : items) {
-    listed.insert(item.*key);
-    auto& told = told_items[item.*key];
-    const bool is_told = told.changed_at != 0 && told.item == item;
-    if (is_told) continue;
-    told = {item, next};
+    current.insert(item.*key);
+    auto& recorded = recorded_items[item.*key];
+    const bool is_unchanged = recorded.changed_at != 0 && recorded.item == item;
+    if (is_unchanged) continue;
+    recorded = {item, next};
     is_changed = true;
   }
-  for (auto told = told_items.begin(); told != told_items.end();) {
-    if (listed.count(told->first) != 0) {
-      ++told;
+  for (auto recorded = recorded_items.begin();
+       recorded != recorded_items.end();) {
+    if (current.count(recorded->first) != 0) {
+      ++recorded;
       continue;
     }
-    gone.push_back({told->first, next});
-    told = told_items.erase(told);
+    removals.push_back({recorded->first, next});
+    recorded = recorded_items.erase(recorded);
     is_changed = true;
   }
   return is_changed;
 }
 
-// The items that changed after the count `since`.
-template <typename Told, typename Item>
-void AddSince(const Told& told_items, uint64_t since,
+// Adds the items that changed after the count `since`.
+template <typename Recorded, typename Item>
+void AddSince(const Recorded& recorded_items, uint64_t since,
               std::vector<Item>& changes) {
-  for (const auto& [key, told] : told_items) {
-    if (told.changed_at > since) changes.push_back(told.item);
+  for (const auto& [key, recorded] : recorded_items) {
+    if (recorded.changed_at > since) changes.push_back(recorded.item);
   }
 }
 
-void AddGoneSince(const std::vector<told_item<std::string>>& gone,
-                  uint64_t since, std::vector<std::string>& changes) {
-  for (const auto& told : gone) {
-    if (told.changed_at > since) changes.push_back(told.item);
+void AddRemovalsSince(const std::vector<told_item<std::string>>& removals,
+                      uint64_t since, std::vector<std::string>& changes) {
+  for (const auto& recorded : removals) {
+    if (recorded.changed_at > since) changes.push_back(recorded.item);
   }
 }
 
-// Whether the asker can be told by changes alone.
-bool HoldsBase(const view_log& log, const view_request& input) {
+// Whether the changes since the version of the requester are recorded.
+bool CanSendChanges(const view_log& log, const view_request& input) {
   return input.held.term == log.term && input.held.count >= log.complete_from &&
          input.held.count > 0 && input.held.count <= log.count;
 }
 
 void AddLists(const view_log& log, const view_request& input,
               view_update& update) {
-  update.lists = HoldsBase(log, input) ? list_part::kChanges : list_part::kAll;
+  update.lists =
+      CanSendChanges(log, input) ? list_part::kChanges : list_part::kAll;
   const uint64_t since =
       update.lists == list_part::kChanges ? input.held.count : 0;
   AddSince(log.endpoints, since, update.endpoints);
   AddSince(log.warnings, since, update.warnings);
   if (update.lists == list_part::kChanges) {
-    AddGoneSince(log.gone, since, update.gone);
-    AddGoneSince(log.lifted, since, update.lifted);
+    AddRemovalsSince(log.gone, since, update.gone);
+    AddRemovalsSince(log.lifted, since, update.lifted);
   }
   update.has_members =
       update.lists == list_part::kAll || log.members_changed_at > since;
@@ -125,20 +129,20 @@
 
 bool TellEndpoints(view_log& log, const std::vector<endpoint>& endpoints) {
   const uint64_t next = log.count + 1;
-  const bool is_changed = TellItems(log.endpoints, log.gone, endpoints,
-                                    &endpoint::incarnation, next);
+  const bool is_changed = UpdateItems(log.endpoints, log.gone, endpoints,
+                                      &endpoint::incarnation, next);
   if (!is_changed) return false;
-  ForgetOldest(log, log.gone);
+  EvictOldest(log, log.gone);
   log.count = next;
   return true;
 }
 
 bool TellWarnings(view_log& log, const std::vector<request_warning>& warnings) {
   const uint64_t next = log.count + 1;
-  const bool is_changed = TellItems(log.warnings, log.lifted, warnings,
-                                    &request_warning::digest, next);
+  const bool is_changed = UpdateItems(log.warnings, log.lifted, warnings,
+                                      &request_warning::digest, next);
   if (!is_changed) return false;
-  ForgetOldest(log, log.lifted);
+  EvictOldest(log, log.lifted);
   log.count = next;
   return true;
 }
@@ -155,10 +159,11 @@
   const uint64_t next = log.weights_count + 1;
   bool is_changed = false;
   for (const engine_weights_entry& item : weights) {
-    auto& told = log.weights[{item.incarnation, item.model}];
-    const bool is_told = told.changed_at != 0 && SameWeights(told.item, item);
-    if (is_told) continue;
-    told = {item, next};
+    auto& recorded = log.weights[{item.incarnation, item.model}];
+    const bool is_unchanged =
+        recorded.changed_at != 0 && SameWeights(recorded.item, item);
+    if (is_unchanged) continue;
+    recorded = {item, next};
     is_changed = true;
   }
   if (is_changed) log.weights_count = next;
--- a/packages/fleet/view_log.h
+++ b/packages/fleet/view_log.h
@@ -1,11 +1,11 @@
 #ifndef HICKORYWOOD_FLEET_VIEW_LOG_H_
 #define HICKORYWOOD_FLEET_VIEW_LOG_H_
 
-// What the control leader has told the other processes so far, and at which
-// count each item of it changed. A process that holds an earlier version of the
-// same term gets only what changed since: with 1,000 endpoints the whole list
-// is 200 KB, and each of 100 processes would be sent it for every endpoint that
-// comes or goes. Plain data and functions.
+// The published view of the control leader, and the count at which each item
+// changed. A process with an earlier version of the same term gets only the
+// changes since: with 1,000 endpoints the complete list has 200 KB, and each of
+// 100 processes would get it for every endpoint that joins or leaves. Plain
+// data and functions.
 
 #include <cstddef>
 #include <cstdint>
@@ -21,44 +21,48 @@
 template <typename Item>
 struct told_item {
   Item item;
-  uint64_t changed_at = 0;  // count of the list
+  uint64_t changed_at = 0;  // count of the list at the last change
 };
 
 struct view_log {
   uint64_t term = 0;
-  // Endpoints, warnings and members, which every process is told.
+  // Version of the lists that every process gets: endpoints, warnings and
+  // members.
   uint64_t count = 1;
   std::map<std::string, told_item<endpoint>> endpoints;  // by incarnation
-  // Endpoints that are gone, in the order in which they went.
+  // Removed endpoints, in the order of their removal.
   std::vector<told_item<std::string>> gone;
   std::map<std::string, told_item<request_warning>> warnings;  // by digest
-  std::vector<told_item<std::string>> lifted;  // digests, as they went
-  // Changes are known from this count on; who holds less gets the lists whole.
+  // Digests of removed warnings, in the order of their removal.
+  std::vector<told_item<std::string>> lifted;
+  // Removals are recorded from this count on. A process with an earlier version
+  // gets the complete lists.
   uint64_t complete_from = 0;
   view_members members;
   uint64_t members_changed_at = 0;
-  // Weights, which only stores are told.
+  // Version of the weights, which only stores get.
   uint64_t weights_count = 1;
   std::map<std::pair<std::string, std::string>, told_item<engine_weights_entry>>
       weights;  // by incarnation and model
 };
 
-// Starts anew: a leader's first version of a term. Who held a version of
-// another term gets everything whole.
+// Clears the log and begins a term of the leader. Processes with a version of
+// another term get the complete lists.
 void BeginTerm(view_log& log, uint64_t term);
 
-// Take what is to be told now. True when it differs from what was told before.
+// Record the current items. Return true when they differ from the published
+// ones.
 bool TellEndpoints(view_log& log, const std::vector<endpoint>& endpoints);
 bool TellWarnings(view_log& log, const std::vector<request_warning>& warnings);
 bool TellMembers(view_log& log, const view_members& members);
 bool TellWeights(view_log& log,
                  const std::vector<engine_weights_entry>& weights);
 
-// Whether there is anything that the asker does not hold, its configuration
-// left aside.
+// Whether there are changes, besides the configuration, that the requester does
+// not have.
 bool HasNews(const view_log& log, const view_request& input);
 
-// The answer to `input`, without the configuration.
+// Returns the response to `input`, without the configuration.
 view_update MakeUpdate(const view_log& log, const view_request& input);
 
 }  // namespace hickorywood::fleet
--- a/tests/unit/fleet/view_log_test.cc
+++ b/tests/unit/fleet/view_log_test.cc
@@ -43,9 +43,9 @@
   return list;
 }
 
-// A process that follows a thousand endpoints and misses one change gets that
-// one, not the thousand: the leader sends it to every process.
-TEST(ViewLogTest, OneChangeIsToldAlone) {
+// A process that follows a thousand endpoints and lacks two changes gets only
+// these, because the leader sends them to every process.
+TEST(ViewLogTest, OnlyChangesAreSent) {
   view_log log;
   BeginTerm(log, 3);
   std::vector<endpoint> list = MakeEndpoints(1000);
@@ -66,7 +66,7 @@
   EXPECT_FALSE(HasNews(log, RequestOf(held)));
 }
 
-TEST(ViewLogTest, WhatIsToldAgainIsNoNews) {
+TEST(ViewLogTest, UnchangedItemsAreNoChange) {
   view_log log;
   BeginTerm(log, 1);
   EXPECT_TRUE(TellEndpoints(log, MakeEndpoints(2)));
@@ -76,9 +76,9 @@
   EXPECT_TRUE(TellWeights(log, {{"i-0", "m", 4, true}}));
 }
 
-// A request that takes endpoints down is named to all, and taken off again,
-// without the list of endpoints being sent anew.
-TEST(ViewLogTest, WarningsAreToldAndLiftedAlone) {
+// A warning about a request is sent to all processes, and removed again,
+// without sending the list of endpoints.
+TEST(ViewLogTest, WarningsAreAddedAndRemovedAlone) {
   view_log log;
   BeginTerm(log, 1);
   TellEndpoints(log, MakeEndpoints(3));
@@ -99,9 +99,10 @@
   EXPECT_EQ(held.endpoints.size(), 3U);
 }
 
-// A process held a version of a leader that is gone. Its successor counts anew,
-// so that the same count says nothing: everything is told whole.
-TEST(ViewLogTest, AnotherTermIsToldWhole) {
+// A process has a version of a leader that crashed. Its successor counts from
+// the beginning, so an equal count means nothing: the process gets the complete
+// lists.
+TEST(ViewLogTest, AnotherTermGetsCompleteLists) {
   view_log log;
   BeginTerm(log, 1);
   TellEndpoints(log, MakeEndpoints(3));
@@ -116,8 +117,8 @@
   EXPECT_EQ(held.endpoints.size(), 2U);
 }
 
-// A process was frozen while more endpoints went than are remembered.
-TEST(ViewLogTest, WhoIsTooFarBehindIsToldWhole) {
+// A process was suspended while more endpoints were removed than are recorded.
+TEST(ViewLogTest, OutdatedFollowerGetsCompleteLists) {
   view_log log;
   BeginTerm(log, 1);
   TellEndpoints(log, MakeEndpoints(1));
@@ -132,9 +133,9 @@
   EXPECT_LT(log.gone.size(), 6000U);
 }
 
-// Changes count from what the asker held. One that holds something else by now
-// must not take them.
-TEST(ViewLogTest, ChangesOfAnotherBaseAreNotTaken) {
+// Changes are relative to the version of the requester. A process that has
+// another version by then must reject them.
+TEST(ViewLogTest, ChangesOfAnotherBaseAreRejected) {
   view_log log;
   BeginTerm(log, 1);
   TellEndpoints(log, MakeEndpoints(2));
@@ -147,9 +148,9 @@
   EXPECT_EQ(held.endpoints.size(), 2U);
 }
 
-// Whatever changes and whenever a process asks, it holds in the end exactly
-// what the leader told last.
-RC_GTEST_PROP(ViewLogTest, FollowersEndWithTheLeadersLists, ()) {
+// For any changes and any times of its requests, a process finally has exactly
+// the lists that the leader recorded last.
+RC_GTEST_PROP(ViewLogTest, FollowersConvergeToTheListsOfTheLeader, ()) {
   constexpr int kEndpoints = 6;
   view_log log;
   BeginTerm(log, 1);
