--- a/packages/fleet/request_warning.h
+++ b/packages/fleet/request_warning.h
@@ -1,7 +1,7 @@
 #ifndef HICKORYWOOD_FLEET_REQUEST_WARNING_H_
 #define HICKORYWOOD_FLEET_REQUEST_WARNING_H_
 
-// What processes tell each other of requests under which endpoints ended.
+// Messages about requests that were running when endpoints crashed.
 
 #include <cstdint>
 #include <string>
@@ -12,17 +12,17 @@
 
 namespace hickorywood::fleet {
 
-// A request was running at one start of an endpoint when that ended.
+// A request was running on an incarnation of an endpoint when that crashed.
 struct crash_report {
   std::string digest;    // of the request, see quarantine/request_digest.h
-  std::string customer;  // whose request it is
+  std::string customer;  // that sent the request
   std::string incarnation;
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(crash_report, digest, customer,
                                                 incarnation)
 
-// Ends that don't count against a request: it was served after them, or an
-// operator freed it.
+// Crashes that are not attributed to a request, because it was served
+// afterwards or an operator released it.
 struct forgiven_ends {
   std::string digest;
   std::string customer;
@@ -31,26 +31,27 @@
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(forgiven_ends, digest, customer,
                                                 ends)
 
-// What a process has seen since it last told the control leader.
+// The crashes and served requests that a process observed since its last report
+// to the control leader.
 struct crash_news {
   std::vector<crash_report> reports;
-  // Digests of requests that an endpoint served and outlived.
+  // Digests of requests that an endpoint served without a crash.
   std::vector<std::string> served;
-  // What the leader's list lacks.
+  // Cleared crashes that the list of the leader lacks.
   std::vector<forgiven_ends> forgiven;
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(crash_news, reports, served,
                                                 forgiven)
 
-// What the control leader tells all of one request.
+// The record of one request that the control leader sends to all processes.
 struct request_warning {
   std::string digest;
   std::string customer;
-  std::vector<std::string> ends;      // starts of endpoints that ended under it
-  bool is_quarantined = false;        // it is sent to no endpoint
-  int64_t length_s = 0;               // of the quarantine, from its begin
+  std::vector<std::string> ends;      // incarnations that crashed under it
+  bool is_quarantined = false;        // not sent to any endpoint
+  int64_t length_s = 0;               // of the quarantine, from its start
   int64_t quarantines = 0;            // so far
-  std::vector<std::string> forgiven;  // ends that don't count
+  std::vector<std::string> forgiven;  // crashes that are not attributed to it
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(request_warning, digest,
                                                 customer, ends, is_quarantined,
