--- a/packages/fleet/protocol.h
+++ b/packages/fleet/protocol.h
@@ -1,9 +1,9 @@
 #ifndef HICKORYWOOD_FLEET_PROTOCOL_H_
 #define HICKORYWOOD_FLEET_PROTOCOL_H_
 
-// How callers, operators, trainers and endpoints speak: the seam between the
-// product, which decides, and an adapter, which only translates. The product
-// hands it wire messages and gets typed ones, and the other way round.
+// The interface of a protocol adapter, which translates the messages of
+// callers, operators, trainers and endpoints between their wire format and
+// these types. All decisions are made outside the adapter.
 
 #include <chrono>
 #include <cstdint>
@@ -19,8 +19,6 @@
 
 namespace hickorywood::fleet {
 
-// --- Calls to the control group.
-
 struct announce_call {
   heartbeat input;
 };
@@ -29,14 +27,15 @@
 };
 struct put_configuration_call {
   configuration config;
-  std::string text;  // as the operator sent it, for reading back
+  std::string text;  // as received from the operator; returned by a read
 };
 struct get_configuration_call {};
-// A trainer names a new version of a model's weights.
+// A trainer publishes a new version of the weights of a model.
 struct publish_version_call {
   model_version published;
 };
-// An instance with data is to be emptied, and whether that is done.
+// Requests that an instance with data is emptied, and reads whether that is
+// done.
 struct retire_call {
   std::string instance;
   std::chrono::milliseconds duration{0};
@@ -44,7 +43,7 @@
 struct retirement_status_call {
   std::string instance;
 };
-// What can't be read: the answer says why.
+// A request that can't be decoded; the response contains the reason.
 struct malformed_call {
   int status = 400;
   std::string reason;
@@ -55,12 +54,12 @@
                  put_configuration_call, get_configuration_call,
                  publish_version_call, retire_call, retirement_status_call>;
 
-// --- Calls about steps, which come to any entry.
+// Calls about submitted steps, which any entry receives.
 
 struct read_results_call {
   std::string step;
   uint64_t after = 0;
-  std::chrono::milliseconds wait{0};  // how long the answer may be held back
+  std::chrono::milliseconds wait{0};  // how long to wait for a result
 };
 struct read_task_call {
   std::string step;
@@ -69,66 +68,65 @@
 struct end_step_call {
   std::string step;
 };
-// Not a call about a step that was submitted: a request for a route.
+// A request for a route, not about a submitted step.
 struct other_call {};
 using step_call = std::variant<other_call, malformed_call, read_results_call,
                                read_task_call, end_step_call>;
 
-// --- Calls to endpoints.
-
 enum class swap_mode {
   kWait,    // runs finish first
   kCut,     // the streams of the runs are reset
-  kRetain,  // runs go on under the new version
+  kRetain,  // runs continue with the new version
 };
 
-// Tells an endpoint to load a version of a model's weights.
+// Orders an endpoint to load a version of the weights of a model.
 struct load_order {
-  std::string endpoint;  // name of the only one that may take it
+  std::string endpoint;  // the only one that may accept the order
   model_version target;
   swap_mode mode = swap_mode::kRetain;
-  std::string holder;                         // who orders
-  uint64_t fencing_token = 0;                 // rises with each leader
-  std::optional<uint64_t> expected_sequence;  // orders that it took before
+  std::string holder;                         // instance that sends the order
+  uint64_t fencing_token = 0;                 // increases with each leader
+  std::optional<uint64_t> expected_sequence;  // orders that it accepted before
 };
 
 enum class order_outcome {
   kStarted,
   kAlreadyDone,
-  kBusy,       // another order is under way, or the sequence differs
-  kFenced,     // a higher token was seen
-  kRefused,    // it can't be carried out
+  kBusy,       // another order is in progress, or the sequence differs
+  kFenced,     // the endpoint has received a higher token
+  kRefused,    // it can't be executed
   kElsewhere,  // another endpoint has the address
 };
 
-// What an endpoint reports of itself; some hundred milliseconds old.
+// The state that an endpoint reports on request; a few hundred milliseconds
+// old.
 struct endpoint_report {
-  std::optional<int64_t> started_ms;  // of the start that reports
+  std::optional<int64_t> started_ms;  // start of the reporting incarnation
   std::vector<model_version> models;
-  bool is_busy = false;         // an order is being carried out
-  uint64_t order_sequence = 0;  // orders taken so far
+  bool is_busy = false;         // an order is being executed
+  uint64_t order_sequence = 0;  // orders accepted so far
 };
 
-// What an endpoint adds to its answers about its load.
+// The load that an endpoint reports with its responses.
 struct load_hint {
   int64_t running = 0;
   int64_t waiting = 0;
   int64_t slots = 0;
 };
 
-// What a request to an endpoint carries beside what its caller sent.
+// The terms that are added to a request to an endpoint.
 struct dispatch_terms {
   std::chrono::milliseconds time_left{0};
-  std::string endpoint;                // any other one refuses the request
+  std::string endpoint;                // any other endpoint rejects the request
   std::optional<uint64_t> last_event;  // resume after this event
-  std::optional<int64_t> priority;     // 0 is first
+  std::optional<int64_t> priority;     // 0 is the most urgent
 };
 
-// How an answer of an endpoint is to be read.
+// The metadata of a response of an endpoint.
 struct answer_marks {
   std::string request_id;   // the request that it belongs to
-  bool is_not_run = false;  // the endpoint says that it did not run the request
-  std::string signature;    // the endpoint's mark; empty: it bears none
+  bool is_not_run = false;  // the endpoint did not run the request
+  std::string signature;    // empty: the response has none
   std::optional<load_hint> load;
   std::optional<uint64_t> weights_version;
   std::optional<std::chrono::seconds> idle_limit;
@@ -144,44 +142,45 @@
   virtual net::response EncodeAcknowledgement(
       const std::string& heartbeat_address) const = 0;
   virtual net::response EncodeRetirement(bool is_done) const = 0;
-  // A configuration as it is read back.
+  // The response to a read of the configuration.
   virtual net::response EncodeConfiguration(const std::string& text) const = 0;
-  // A failure of the system's own, with the reason in words.
+  // A failure response of this service, with the reason as a text.
   virtual net::response EncodeFailure(
       int status, const std::string& reason,
       std::optional<std::chrono::milliseconds> retry_after) const = 0;
 
   virtual step_call DecodeStepCall(const net::request& input) const = 0;
-  // Empty with the last reason when it can't be read.
+  // Returns nothing, and sets the last reason, when it can't be decoded.
   virtual std::optional<steps::submission> DecodeSubmission(
       const net::request& input) const = 0;
   virtual net::response EncodeResults(const steps::result_page& page) const = 0;
   virtual net::response EncodeTaskBody(const std::string& body) const = 0;
 
   virtual std::string RequestId(const net::request& input) const = 0;
-  // How long the caller waits, where it says so.
+  // The time for which the caller waits, if the request contains it.
   virtual std::optional<std::chrono::milliseconds> TimeLeft(
       const net::request& input) const = 0;
-  // A caller's request as it goes to an endpoint.
+  // Encodes the request of a caller as a request to an endpoint.
   virtual net::request EncodeDispatch(const net::request& input,
                                       const dispatch_terms& terms) const = 0;
-  // The header that names the request in requests and in answers.
+  // The header with the id of the request, in requests and responses.
   virtual net::header RequestIdHeader(const std::string& id) const = 0;
   // `task`: id of the task that `input` runs.
   virtual net::request EncodeTask(const steps::submission& step,
                                   const std::string& task,
                                   const steps::task_request& input,
                                   const dispatch_terms& terms) const = 0;
-  // A reward request as a caller would send it.
+  // Encodes a reward request in the form in which a caller would send it.
   virtual net::request EncodeReward(
       const steps::reward_request& reward) const = 0;
   virtual answer_marks DecodeMarks(const net::response& answer) const = 0;
-  // The version of weights that an event's lines name, where they name one.
+  // The version of the weights in a field of an event, if the field contains
+  // it.
   virtual std::optional<uint64_t> EventVersion(
       const std::string& field, const std::string& value) const = 0;
   // The number of output tokens that the caller expects of a task, or 0.
   virtual int64_t ExpectedTokens(const steps::task_request& input) const = 0;
-  // The longest output that a task may have, in tokens, or 0.
+  // The maximum length of the output of a task in tokens, or 0.
   virtual int64_t LargestOutput(const steps::task_request& input) const = 0;
 
   virtual net::request EncodeOrder(const load_order& order) const = 0;
