--- a/packages/group/group_host.cc
+++ b/packages/group/group_host.cc
@@ -21,17 +21,18 @@
 using asio::awaitable;
 using core::milliseconds;
 
-// A third of the shortest heartbeat, so that it is late by little.
+// A third of the shortest heartbeat interval, which limits the delay of a
+// heartbeat.
 constexpr milliseconds kTickPeriod{50};
 constexpr milliseconds kJoinPeriod{200};
-// Most of the round trip and the sync of an append; a snapshot's piece is
-// larger.
+// Timeouts of a round trip that includes the disk sync of an append. A part of
+// a snapshot is larger and gets more time.
 constexpr milliseconds kAppendTimeout{400};
 constexpr milliseconds kSnapshotTimeout{2000};
-// Pause before a message that could not be delivered counts as lost. Without it
-// a replica that is down would be called again at each flush.
+// Pause before a replica is reported as unreachable after a failed message.
+// Without it, a replica that is down would be called again at each flush.
 constexpr milliseconds kUnreachablePause{100};
-// How long an instance that asked for admission counts as waiting for it.
+// How long an instance is listed as an applicant after a request to join.
 constexpr milliseconds kApplicantLifetime{1000};
 
 consensus::group_replica_settings ReplicaSettings(
@@ -107,15 +108,15 @@
   }
 }
 
-// Goes on until the leader has made this replica a voter.
+// Sends requests to join until the leader has made this replica a voter.
 awaitable<void> group_host::KeepJoining() {
   for (;;) {
     co_await net::Sleep(kJoinPeriod);
-    if (replica_.NeedsToJoin()) AskToJoin();
+    if (replica_.NeedsToJoin()) RequestToJoin();
   }
 }
 
-void group_host::AskToJoin() {
+void group_host::RequestToJoin() {
   std::set<std::string> targets(contacts_.begin(), contacts_.end());
   for (const std::string& node : Members()) targets.insert(node);
   targets.erase(settings_.own_address);
@@ -129,7 +130,8 @@
   }
 }
 
-// Once for all that the loop has ready now, so that a burst shares one sync.
+// Schedules one flush for everything that is ready on the loop, so that a burst
+// shares one disk sync.
 void group_host::ScheduleFlush() {
   if (is_flush_scheduled_) return;
   is_flush_scheduled_ = true;
@@ -198,15 +200,15 @@
   input.name = std::move(name);
   input.now_ms = core::ToUnixMillis(clock_.WallNow());
   input.payload = std::move(payload);
-  const net::one_shot<consensus::proposal_end> end;
+  const net::one_shot<consensus::proposal_end> outcome;
   commit_result result;
-  result.was_proposed =
-      replica_.Propose(EncodeCommand(input),
-                       [end](consensus::proposal_end how) { end.Set(how); });
+  result.was_proposed = replica_.Propose(
+      EncodeCommand(input),
+      [outcome](consensus::proposal_end how) { outcome.Set(how); });
   if (!result.was_proposed) co_return result;
   ScheduleFlush();
-  // Ends at the commit, or when leadership ends.
-  const auto how = co_await end.WaitUntil(core::time_point::max());
+  // Completes at the commit, or when leadership ends.
+  const auto how = co_await outcome.WaitUntil(core::time_point::max());
   result.is_committed = how && *how == consensus::proposal_end::kCommitted;
   co_return result;
 }
--- a/packages/group/group_host.h
+++ b/packages/group/group_host.h
@@ -1,8 +1,8 @@
 #ifndef HICKORYWOOD_GROUP_GROUP_HOST_H_
 #define HICKORYWOOD_GROUP_GROUP_HOST_H_
 
-// Runs this instance's replica of a group on the I/O loop: its clock, its links
-// to the other replicas, founding and joining.
+// Runs the replica of a group on the I/O loop of this instance: its timer, its
+// messages to the other replicas, bootstrapping and joining.
 
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/io_context.hpp>
@@ -25,16 +25,16 @@
 
 struct group_settings {
   std::string name;         // of the group
-  std::string own_address;  // peer address; names the instance in the group
+  std::string own_address;  // peer address; identifies the instance
   std::string data_folder;
   consensus::raft_options raft;
-  // Voters below which nothing is acknowledged: with fewer the loss of one disk
-  // could take all copies.
+  // Number of voters below which no command is acknowledged: with fewer, the
+  // loss of one disk could destroy all copies.
   size_t spread_voters = 3;
 };
 
-// The settings of a group with `wanted_voters` voters, as a process's settings
-// give them.
+// Returns the settings of a group with `wanted_voters` voters from the settings
+// of the process.
 group_settings MakeGroupSettings(const settings::node_settings& node,
                                  std::string name, size_t wanted_voters);
 
@@ -45,52 +45,56 @@
              group_settings settings, net::connection_pool& pool,
              hosted_state& state);
 
-  // False with the reason when the data folder can't be used.
+  // Returns false, and sets the reason, when the data folder is unusable.
   bool Start();
-  // Makes this replica the first voter of the group, if it is in none. Exactly
-  // one instance may ever do it.
+  // Makes this replica the first voter of the group, if it is in no group.
+  // Exactly one instance may ever do this.
   void Found();
-  // Other instances that may be members, to ask for admission.
+  // Sets other instances that may be members, to which requests to join are
+  // sent.
   void SetContacts(std::vector<std::string> contacts);
-  // Nodes that shall not be members.
+  // Sets the nodes that are to be removed from the group.
   void SetLeaving(std::set<std::string> nodes);
 
-  // Takes messages of another replica and answers it once that may be said.
+  // Handles a message of another replica, and returns the replies once they may
+  // be sent.
   boost::asio::awaitable<std::string> Receive(std::string payload);
 
   struct commit_result {
     bool was_proposed = false;  // false: this replica does not lead
-    bool is_committed = false;  // false and proposed: the fate is open
+    bool is_committed = false;  // false and proposed: the outcome is unknown
   };
   boost::asio::awaitable<commit_result> Commit(std::string name,
                                                std::string payload);
 
-  // The command of a log entry after the latest snapshot, read from disk if
-  // need be. Empty with the reason when it can't be read.
+  // Returns the command of a log entry after the latest snapshot, read from
+  // disk if necessary. Returns nothing, and sets the reason, when it can't be
+  // read.
   std::optional<hosted_command> ReadCommand(uint64_t index);
 
-  // Whether this replica may act as the leader now. Ask again right before each
-  // outside effect: a frozen process wakes up late.
+  // Whether this replica may act as the leader now. Must be checked right
+  // before each external effect, since a process may have been suspended in
+  // between.
   bool IsServing() const { return replica_.IsServing(); }
-  // Whether enough voters hold the state that no single disk carries what is
-  // acknowledged.
+  // Whether enough voters have the state, so that the loss of a single disk
+  // can't destroy acknowledged commands.
   bool IsSpread() const;
   bool HasFailed() const { return replica_.HasFailed(); }
   uint64_t Term() const { return replica_.Raft().hard.term; }
   core::time_point ElectedAt() const { return replica_.Raft().elected_at; }
-  // Peer address of the leader as far as known.
+  // Peer address of the latest known leader; empty: none.
   const std::string& Leader() const { return replica_.Raft().leader.node; }
   const std::string& OwnAddress() const { return settings_.own_address; }
   std::vector<std::string> Members() const;
   std::vector<std::string> Voters() const;
   bool IsInGroup() const { return !replica_.Raft().group.empty(); }
-  // Instances that asked for admission within the last second.
+  // Instances that requested to join within the last second.
   std::set<std::string> Applicants() const;
   bool HandOver() { return replica_.HandOver(); }
 
   // Set before Start(). `on_leadership` is called when this replica starts or
   // stops leading, `on_applied` after the state changed, `on_failure` when the
-  // disk failed and the process must end.
+  // disk failed and the process must exit.
   std::function<void(bool)> on_leadership;
   std::function<void()> on_applied;
   std::function<void()> on_failure;
@@ -108,7 +112,7 @@
   boost::asio::awaitable<void> KeepTicking();
   boost::asio::awaitable<void> KeepJoining();
   void ScheduleFlush();
-  void AskToJoin();
+  void RequestToJoin();
 
   boost::asio::io_context& loop_;
   const core::runtime_clock& clock_;
