--- a/packages/group/hosted_state.cc
+++ b/packages/group/hosted_state.cc
@@ -9,18 +9,18 @@
 namespace hickorywood::group {
 namespace {
 
-// Bytes of the length that stands before the encoded rest, the highest first.
+// Size of the length of the header in front of it; big-endian.
 constexpr size_t kLengthBytes = sizeof(uint32_t);
 
 }  // namespace
 
 std::string EncodeCommand(const hosted_command& input) {
-  const std::string rest = core::EncodeBinary(input);
+  const std::string header = core::EncodeBinary(input);
   const uint32_t length =
-      boost::endian::native_to_big(static_cast<uint32_t>(rest.size()));
+      boost::endian::native_to_big(static_cast<uint32_t>(header.size()));
   std::string bytes(kLengthBytes, '\0');
   std::memcpy(bytes.data(), &length, kLengthBytes);
-  return bytes + rest + input.payload;
+  return bytes + header + input.payload;
 }
 
 std::optional<hosted_command> DecodeCommand(std::string_view bytes) {
--- a/packages/group/leader_calls.cc
+++ b/packages/group/leader_calls.cc
@@ -31,7 +31,7 @@
                                             std::string payload) {
   envelope answer;
   if (!host.IsSpread()) {
-    answer.reason = "too few copies of the state yet";
+    answer.reason = "too few instances have a copy of the state";
     co_return answer;
   }
   const auto result = co_await host.Commit(std::move(name), std::move(payload));
@@ -39,7 +39,7 @@
   answer.outcome =
       result.is_committed ? call_outcome::kDone : call_outcome::kUnknown;
   if (!result.is_committed) {
-    answer.reason = "leadership ended before the commit was seen";
+    answer.reason = "leadership ended before the commit was confirmed";
   }
   co_return answer;
 }
--- a/packages/group/leader_calls.h
+++ b/packages/group/leader_calls.h
@@ -1,7 +1,7 @@
 #ifndef HICKORYWOOD_GROUP_LEADER_CALLS_H_
 #define HICKORYWOOD_GROUP_LEADER_CALLS_H_
 
-// Answers that the leaders of all groups give alike.
+// Replies that are common to the leaders of all groups.
 
 #include <boost/asio/awaitable.hpp>
 #include <string>
@@ -13,15 +13,16 @@
 
 peering::envelope Done(std::string payload = "");
 peering::envelope Refused(std::string reason);
-// The call can't be read; the last reason says why.
+// The request can't be decoded; the reason is the last one that was set.
 peering::envelope Malformed();
 
-// This instance does not lead; says who does as far as known.
+// This instance does not lead; contains the address of the leader, if known.
 peering::envelope NotLeader(const group_host& host);
 
-// Commits a command and answers with how that went. Where it was proposed and
-// not seen committed, its fate is open: a successor may have it. Nothing is
-// taken while too few instances hold the state.
+// Commits a command and replies with the outcome. When the command was proposed
+// but its commit was not observed, the outcome is unknown: a new leader may
+// still commit it. The command is rejected while too few instances have the
+// state.
 boost::asio::awaitable<peering::envelope> CommitCall(group_host& host,
                                                      std::string name,
                                                      std::string payload);
--- a/tests/unit/group/hosted_state_test.cc
+++ b/tests/unit/group/hosted_state_test.cc
@@ -8,7 +8,7 @@
 namespace hickorywood::group {
 namespace {
 
-RC_GTEST_PROP(HostedCommandTest, ComesBackAsItWas,
+RC_GTEST_PROP(HostedCommandTest, DecodesWhatWasEncoded,
               (const std::string& name, int64_t now_ms,
                const std::string& payload)) {
   hosted_command input;
@@ -23,8 +23,10 @@
   RC_ASSERT(read->payload == payload);
 }
 
-// A log of another writer, or one that was cut: no command, and no crash.
-RC_GTEST_PROP(HostedCommandTest, AnyBytesAreTaken, (const std::string& bytes)) {
+// The decoder must handle bytes of another writer, or of a truncated log,
+// without a crash.
+RC_GTEST_PROP(HostedCommandTest, AnyBytesAreHandled,
+              (const std::string& bytes)) {
   DecodeCommand(bytes);
   DecodeCommand(std::string("\0\0\0\4", 4) + bytes);
 }
