--- a/packages/peering/leader_caller.cc
+++ b/packages/peering/leader_caller.cc
@@ -15,15 +15,15 @@
 using core::milliseconds;
 using core::time_point;
 
-// Pause between two tries: an election takes some hundred milliseconds, and a
-// tight loop would only load the instances that hold it.
+// Pause between two attempts: an election takes a few hundred milliseconds, and
+// a tight loop would load the instances that conduct it.
 constexpr milliseconds kRetryPause{40};
 
-// News of crashes is worth telling for as long as the request may come again;
-// its teller tries anew after that. One try is well below the time in which all
-// instances are to know.
-constexpr milliseconds kNewsTime{5000};
-constexpr milliseconds kNewsPatience{500};
+// A report of a crash is sent for as long as the request may arrive again;
+// after that its sender starts again. One attempt is well below the time in
+// which all instances must have the report.
+constexpr milliseconds kCrashUpdateTimeout{5000};
+constexpr milliseconds kCrashUpdateAttemptTimeout{500};
 
 time_point Now() { return std::chrono::steady_clock::now(); }
 
@@ -47,7 +47,8 @@
   controllers_ = std::move(controllers);
 }
 
-// The leader where it is known, otherwise all known control instances in turn.
+// Returns the leader if it is known, otherwise the known control instances in
+// turn.
 std::string leader_caller::NextTarget() {
   if (!leader_.empty()) return leader_;
   std::vector<std::string> known = controllers_;
@@ -56,12 +57,12 @@
       known.push_back(seed);
     }
   }
-  if (known.empty()) return own_address_;  // empty where there is none
+  if (known.empty()) return own_address_;  // empty: not a control instance
   return known[turn_++ % known.size()];
 }
 
-void leader_caller::NoteAnswer(const std::string& target,
-                               const envelope& answer) {
+void leader_caller::UpdateLeader(const std::string& target,
+                                 const envelope& answer) {
   switch (answer.outcome) {
     case call_outcome::kNotLeader:
       leader_ = answer.leader == target ? "" : answer.leader;
@@ -90,8 +91,8 @@
       co_await CallPeer(pool_, address, method, payload, deadline);
   envelope answer;
   if (result.how == net::progress::kAnswered && result.answer.status == 200) {
-    const auto told = core::DecodeBinary<envelope>(result.answer.body);
-    if (told) co_return *told;
+    const auto reply = core::DecodeBinary<envelope>(result.answer.body);
+    if (reply) co_return *reply;
     core::LogEvent(core::event_id::kPeerMessageMalformed,
                    {{"method", method},
                     {"address", address},
@@ -102,7 +103,7 @@
   answer.outcome =
       is_sent ? call_outcome::kUnknown : call_outcome::kUnavailable;
   answer.reason = result.error;
-  // The other connections to that instance may have gone silent with this one.
+  // The other connections to that instance may be broken as well.
   if (result.is_timeout) pool_.Forget(address);
   co_return answer;
 }
@@ -116,16 +117,16 @@
     const std::string target = NextTarget();
     const time_point until = std::min(deadline, Now() + patience);
     answer = co_await AskOne(target, method, payload, until);
-    NoteAnswer(target, answer);
-    const bool goes_on = answer.outcome == call_outcome::kNotLeader ||
-                         answer.outcome == call_outcome::kUnavailable ||
-                         answer.outcome == call_outcome::kUnknown;
-    if (!goes_on) co_return answer;
+    UpdateLeader(target, answer);
+    const bool should_retry = answer.outcome == call_outcome::kNotLeader ||
+                              answer.outcome == call_outcome::kUnavailable ||
+                              answer.outcome == call_outcome::kUnknown;
+    if (!should_retry) co_return answer;
     is_unknown = is_unknown || answer.outcome == call_outcome::kUnknown;
-    const bool knows_better =
+    const bool has_new_leader =
         answer.outcome == call_outcome::kNotLeader && !leader_.empty();
     if (Now() + kRetryPause >= deadline) break;
-    if (!knows_better) {
+    if (!has_new_leader) {
       co_await net::Sleep(kRetryPause);
     }
   }
@@ -137,7 +138,8 @@
 awaitable<bool> TellCrashNews(leader_caller& caller, fleet::crash_news news) {
   const envelope answer = co_await caller.Ask(
       kCrashNewsMethod, core::EncodeBinary(news),
-      std::chrono::steady_clock::now() + kNewsTime, kNewsPatience);
+      std::chrono::steady_clock::now() + kCrashUpdateTimeout,
+      kCrashUpdateAttemptTimeout);
   co_return answer.outcome == call_outcome::kDone;
 }
 
--- a/packages/peering/leader_caller.h
+++ b/packages/peering/leader_caller.h
@@ -1,9 +1,9 @@
 #ifndef HICKORYWOOD_PEERING_LEADER_CALLER_H_
 #define HICKORYWOOD_PEERING_LEADER_CALLER_H_
 
-// Calls to whichever control instance leads. Starts from the seeds, learns the
-// others from the views, and goes on to the next one when the leader changes,
-// is silent or is gone.
+// Calls to the current leader of a group. Starts with the seeds, adds the
+// instances from the views, and switches to another instance when the leader
+// changes, is unreachable or has terminated.
 
 #include <boost/asio/awaitable.hpp>
 #include <functional>
@@ -21,25 +21,26 @@
   using local_handler = std::function<boost::asio::awaitable<envelope>(
       std::string method, std::string payload)>;
 
-  // `seeds`: peer addresses to begin with.
+  // `seeds`: initial peer addresses.
   leader_caller(net::connection_pool& pool, std::vector<std::string> seeds);
 
-  // A control instance answers its own calls without a connection.
+  // Handles calls to the own instance without a connection.
   void ServeLocally(std::string own_address, local_handler handle);
 
-  // New seeds take the place of the first ones; what views told stays.
+  // Replaces the seeds. The instances from the views are kept.
   void SetSeeds(std::vector<std::string> seeds);
   void SetControllers(std::vector<std::string> controllers);
   const std::vector<std::string>& Controllers() const { return controllers_; }
 
-  // Asks until an answer that is neither kNotLeader nor kUnavailable comes, or
-  // until `deadline`. One try waits `patience` at most. kUnknown: a try got no
-  // answer and none after it told more.
+  // Calls the leader until a reply other than kNotLeader, kUnavailable and
+  // kUnknown arrives, or until `deadline`. One attempt takes `patience` at
+  // most. Returns kUnknown when an attempt may have been executed and no later
+  // one got a definite reply.
   boost::asio::awaitable<envelope> Ask(std::string method, std::string payload,
                                        core::time_point deadline,
                                        core::milliseconds patience);
 
-  // One try at one instance.
+  // Makes one attempt at one instance.
   boost::asio::awaitable<envelope> AskOne(const std::string& address,
                                           const std::string& method,
                                           const std::string& payload,
@@ -47,19 +48,19 @@
 
  private:
   std::string NextTarget();
-  void NoteAnswer(const std::string& target, const envelope& answer);
+  void UpdateLeader(const std::string& target, const envelope& answer);
 
   net::connection_pool& pool_;
   std::vector<std::string> seeds_;
   std::vector<std::string> controllers_;  // from the latest view
-  std::string leader_;                    // best guess; empty: none
+  std::string leader_;                    // latest known; empty: none
   size_t turn_ = 0;
   std::string own_address_;
   local_handler local_;
 };
 
-// Tells the control leader of requests under which endpoints ended. False: it
-// may not have heard.
+// Reports requests that were running when endpoints crashed to the control
+// leader. Returns false when the report may not have arrived.
 boost::asio::awaitable<bool> TellCrashNews(leader_caller& caller,
                                            fleet::crash_news news);
 
--- a/tests/unit/peering/leader_caller_test.cc
+++ b/tests/unit/peering/leader_caller_test.cc
@@ -1,5 +1,5 @@
-// Calls between the system's own instances, where an answer could be read as
-// the answer to another call.
+// Calls between the processes of this service, in which a response could be
+// mistaken for the response to another call.
 
 #include "peering/leader_caller.h"
 
@@ -26,7 +26,7 @@
 using core::milliseconds;
 
 constexpr int kCalls = 3;
-constexpr int kTries = 3;
+constexpr int kAttempts = 3;
 constexpr milliseconds kSlack{300};
 constexpr milliseconds kLimit{60000};
 
@@ -46,7 +46,7 @@
   net::stutter script;
   int answered = 0;
   std::vector<std::string> wrong;
-  bool is_over = false;
+  bool is_finished = false;
 };
 
 awaitable<void> MakeCalls(io_context& loop, series& self) {
@@ -56,7 +56,7 @@
   for (int i = 0; i < kCalls; ++i) {
     net::request input;
     input.body = "payload " + std::to_string(i);
-    for (int attempt = 0; attempt < kTries; ++attempt) {
+    for (int attempt = 0; attempt < kAttempts; ++attempt) {
       const core::time_point deadline =
           std::chrono::steady_clock::now() + self.script.work + kSlack;
       const envelope answer = co_await caller.AskOne(peer.Address(), "method",
@@ -68,42 +68,42 @@
       break;
     }
   }
-  self.is_over = true;
+  self.is_finished = true;
 }
 
-// Runs all series at once.
+// Runs all series concurrently.
 void RunAll(std::list<series>& all) {
   io_context loop;
-  size_t over = 0;
-  for (series& one : all) {
-    boost::asio::co_spawn(loop, MakeCalls(loop, one),
-                          [&loop, &over, &all](const std::exception_ptr&) {
-                            if (++over == all.size()) loop.stop();
+  size_t finished = 0;
+  for (series& item : all) {
+    boost::asio::co_spawn(loop, MakeCalls(loop, item),
+                          [&loop, &finished, &all](const std::exception_ptr&) {
+                            if (++finished == all.size()) loop.stop();
                           });
   }
   loop.run_for(kLimit);
-  for (const series& one : all) {
+  for (const series& item : all) {
     std::ostringstream name;
-    name << one.script;
-    EXPECT_TRUE(one.is_over) << name.str();
-    EXPECT_EQ(one.answered, kCalls) << name.str();
-    for (const std::string& payload : one.wrong) {
+    name << item.script;
+    EXPECT_TRUE(item.is_finished) << name.str();
+    EXPECT_EQ(item.answered, kCalls) << name.str();
+    for (const std::string& payload : item.wrong) {
       ADD_FAILURE() << name.str() << ": " << payload;
     }
   }
 }
 
-// Guards against a body, a page of results or a view that belongs to another
-// call.
-TEST(LeaderCallerTest, SecondAnswersBelongToNoCall) {
+// Guards against a request body, a page of results or a view that belongs to
+// another call.
+TEST(LeaderCallerTest, SecondResponsesAreIgnored) {
   std::list<series> all;
   for (const net::stutter& script : net::AllStutters()) all.push_back({script});
   RunAll(all);
 }
 
-// Guards against instances that can't talk to those of the release before,
-// whose answers name no call.
-TEST(LeaderCallerTest, PeersThatNameNoCallAreHeard) {
+// Guards against instances that can't communicate with those of the previous
+// release, whose responses contain no call id.
+TEST(LeaderCallerTest, ResponsesWithoutCallIdAreAccepted) {
   std::list<series> all;
   for (net::stutter script : net::AllStutters()) {
     script.names_own = false;
@@ -112,8 +112,8 @@
   RunAll(all);
 }
 
-// Guards against a connection for each call between instances that do name the
-// call.
+// Guards against a new connection for each call between instances whose
+// responses contain the call id.
 TEST(LeaderCallerTest, ConnectionsToPeersAreReused) {
   io_context loop;
   net::listener peer(
