--- a/packages/peering/failure_answer.cc
+++ b/packages/peering/failure_answer.cc
@@ -13,14 +13,14 @@
       return wire.EncodeFailure(409, answer.reason, std::nullopt);
     case call_outcome::kUnknown:
       return wire.EncodeFailure(
-          504, "whether it was done is not known: " + answer.reason,
+          504, "the outcome of the call is unknown: " + answer.reason,
           std::nullopt);
     case call_outcome::kDone:
     case call_outcome::kNotLeader:
     case call_outcome::kUnavailable:
       break;
   }
-  return wire.EncodeFailure(503, "no leader answers: " + answer.reason,
+  return wire.EncodeFailure(503, "no leader is available: " + answer.reason,
                             retry_after);
 }
 
--- a/packages/peering/failure_answer.h
+++ b/packages/peering/failure_answer.h
@@ -9,8 +9,9 @@
 
 namespace hickorywood::peering {
 
-// What a caller outside gets when the leader's answer is not kDone. "Not done"
-// (503) is said only when that is known; where the fate is open it is 504.
+// Encodes the failure response to an outside caller when the reply of the
+// leader is not kDone. 503 is returned only when the call was certainly not
+// executed; when that is unknown the status is 504.
 net::response EncodeFailure(const fleet::protocol& wire, const envelope& answer,
                             std::chrono::milliseconds retry_after);
 
--- a/packages/peering/messages.h
+++ b/packages/peering/messages.h
@@ -1,9 +1,9 @@
 #ifndef HICKORYWOOD_PEERING_MESSAGES_H_
 #define HICKORYWOOD_PEERING_MESSAGES_H_
 
-// Messages between the system's own processes, as MessagePack over HTTP. Every
-// call that changes something is idempotent, so that a caller may repeat it
-// while the leader changes.
+// Messages between the processes of this service, as MessagePack over HTTP.
+// Every call that changes something is idempotent, so that a caller may repeat
+// it during a change of the leader.
 
 #include <cstdint>
 #include <string>
@@ -21,9 +21,9 @@
 
 constexpr char kPeerPathPrefix[] = "/peer/v1/";
 
-// The methods of the peer interface. Any instance of the group takes them, only
-// the leader answers: the control leader the first ones, the data leader those
-// about steps.
+// The methods of the peer API. Any instance of the group accepts them, but only
+// the leader executes them: the control leader the first ones, the data leader
+// those about steps and runs.
 constexpr char kConsensusMethod[] = "consensus";
 constexpr char kViewMethod[] = "view";
 constexpr char kHeartbeatsMethod[] = "heartbeats";
@@ -31,8 +31,8 @@
 constexpr char kPutConfigurationMethod[] = "put_configuration";
 constexpr char kGetConfigurationMethod[] = "get_configuration";
 constexpr char kPublishVersionMethod[] = "publish_version";
-// What a process has seen of requests under which endpoints ended; what the
-// leader holds of them all; and an operator's word that one may be sent.
+// Reports of requests that were running when endpoints crashed; the list of all
+// such requests; and the release of one of them by an operator.
 constexpr char kCrashNewsMethod[] = "crash_news";
 constexpr char kWarningsMethod[] = "warnings";
 constexpr char kLiftMethod[] = "lift";
@@ -40,22 +40,24 @@
 constexpr char kReadResultsMethod[] = "read_results";
 constexpr char kReadTaskMethod[] = "read_task";
 constexpr char kEndStepMethod[] = "end_step";
-// A store asks the data leader for tasks to run, and tells what comes of them.
+// A store requests tasks to run from the data leader, and reports their
+// outcomes.
 constexpr char kTakeOrdersMethod[] = "take_orders";
 constexpr char kReportRunsMethod[] = "report_runs";
-// A store is to be emptied, and whether nothing depends on it any more. At the
-// control leader by instance, at the data leader by peer address.
+// Requests that a store is emptied, and reads whether nothing depends on it any
+// more. The control leader identifies the store by its instance, the data
+// leader by its peer address.
 constexpr char kRetireMethod[] = "retire";
 constexpr char kRetirementMethod[] = "retirement";
 
 enum class call_outcome {
   kDone,
-  kNotLeader,    // nothing was done here; `leader` may tell where to go
-  kUnavailable,  // not done as far as known; may work later
-  kUnknown,      // it may have been done
-  kRefused,      // it can never be done; `reason` says why
+  kNotLeader,    // not executed; `leader` may contain the leader
+  kUnavailable,  // not executed as far as detected; may succeed later
+  kUnknown,      // may have been executed
+  kRefused,      // can never succeed; see `reason`
   kNotFound,
-  kConflict,  // it would leave too little; nothing was done
+  kConflict,  // would leave too few instances; not executed
 };
 NLOHMANN_JSON_SERIALIZE_ENUM(call_outcome,
                              {{call_outcome::kUnavailable, "unavailable"},
@@ -66,12 +68,12 @@
                               {call_outcome::kNotFound, "not_found"},
                               {call_outcome::kConflict, "conflict"}})
 
-// The answer to each call.
+// The reply to each call.
 struct envelope {
   call_outcome outcome = call_outcome::kUnavailable;
-  std::string leader;  // peer address, where known
+  std::string leader;  // peer address; empty: unknown
   std::string reason;
-  std::string payload;  // of kDone: the method's own answer
+  std::string payload;  // of kDone: the encoded result
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(envelope, outcome, leader,
                                                 reason, payload)
@@ -86,7 +88,7 @@
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(named_item, name)
 
-// A named_item, encoded.
+// Encodes a named_item.
 inline std::string EncodeName(std::string name) {
   named_item item;
   item.name = std::move(name);
@@ -99,7 +101,7 @@
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(flag_answer, is_set)
 
 struct configuration_text {
-  fleet::configuration config;  // left empty in answers
+  fleet::configuration config;  // empty in replies
   std::string text;
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(configuration_text, config,
@@ -113,7 +115,7 @@
 struct read_results_request {
   std::string step;
   uint64_t after = 0;
-  int64_t wait_ms = 0;  // how long the answer may be held back for a result
+  int64_t wait_ms = 0;  // how long to wait for a result
   uint64_t page_bytes = 0;
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(read_results_request, step,
--- a/packages/peering/peer_call.h
+++ b/packages/peering/peer_call.h
@@ -1,7 +1,7 @@
 #ifndef HICKORYWOOD_PEERING_PEER_CALL_H_
 #define HICKORYWOOD_PEERING_PEER_CALL_H_
 
-// The calling side of the links between the system's own processes.
+// The client side of calls between the processes of this service.
 
 #include <boost/asio/awaitable.hpp>
 #include <string>
@@ -12,9 +12,9 @@
 
 namespace hickorywood::peering {
 
-// Calls a method of the instance at `address`, once. An answer is taken only if
-// it names the call; instances of the release before name none and get a
-// connection for each call.
+// Calls a method of the instance at `address`, once. A response is accepted
+// only if it contains the id of the call. Instances of the previous release do
+// not send the id, and get a new connection for each call.
 boost::asio::awaitable<net::call_result> CallPeer(net::connection_pool& pool,
                                                   std::string address,
                                                   std::string method,
--- a/packages/peering/peer_interface.cc
+++ b/packages/peering/peer_interface.cc
@@ -10,7 +10,7 @@
 namespace hickorywood::peering {
 namespace {
 
-// Our own instances keep their connections; they close them earlier than this.
+// Clients close idle connections earlier than this.
 constexpr std::chrono::seconds kPeerIdleTimeout{30};
 
 }  // namespace
--- a/packages/peering/peer_interface.h
+++ b/packages/peering/peer_interface.h
@@ -1,7 +1,7 @@
 #ifndef HICKORYWOOD_PEERING_PEER_INTERFACE_H_
 #define HICKORYWOOD_PEERING_PEER_INTERFACE_H_
 
-// The listener side of the links between the system's own processes.
+// The server side of calls between the processes of this service.
 
 #include <boost/asio/awaitable.hpp>
 #include <functional>
@@ -14,8 +14,8 @@
 
 net::listener_options PeerListenerOptions(const std::string& address);
 
-// Takes one call: consensus messages go to `consensus`, every other method to
-// `handle`.
+// Handles one call: consensus messages are passed to `consensus`, all other
+// methods to `handle`.
 boost::asio::awaitable<void> ServePeer(
     net::exchange& call,
     std::function<boost::asio::awaitable<std::string>(std::string payload)>
--- a/packages/peering/view_follower.cc
+++ b/packages/peering/view_follower.cc
@@ -14,7 +14,7 @@
 using core::LogEvent;
 using core::time_point;
 
-// Pause after a round of asking that found no leader.
+// Pause after a failed request.
 constexpr core::milliseconds kPauseWithoutLeader{50};
 
 time_point Now() { return std::chrono::steady_clock::now(); }
@@ -48,21 +48,21 @@
     const envelope answer = co_await caller_.Ask(
         kViewMethod, core::EncodeBinary(input), Now() + patience, patience);
     const bool is_answered = answer.outcome == call_outcome::kDone;
-    if (is_answered != is_in_touch_) {
-      is_in_touch_ = is_answered;
+    if (is_answered != is_following_) {
+      is_following_ = is_answered;
       LogEvent(is_answered ? event_id::kLeaderFound : event_id::kLeaderMissed,
                {{"reason", answer.reason},
                 {"configuration", std::to_string(view_.config.version)}});
     }
     if (is_answered) {
-      Take(answer);
+      Apply(answer);
     } else {
       co_await net::Sleep(kPauseWithoutLeader);
     }
   }
 }
 
-void view_follower::Take(const envelope& answer) {
+void view_follower::Apply(const envelope& answer) {
   const auto update = core::DecodeBinary<fleet::view_update>(answer.payload);
   if (!update) {
     LogEvent(event_id::kPeerMessageMalformed,
--- a/packages/peering/view_follower.h
+++ b/packages/peering/view_follower.h
@@ -1,8 +1,8 @@
 #ifndef HICKORYWOOD_PEERING_VIEW_FOLLOWER_H_
 #define HICKORYWOOD_PEERING_VIEW_FOLLOWER_H_
 
-// Keeps a process's view up to date: asks the leader again and again, each time
-// held back there until something changes.
+// Keeps the view of a process up to date by long polling: the leader delays
+// each response until something changes.
 
 #include <boost/asio/awaitable.hpp>
 #include <functional>
@@ -19,14 +19,15 @@
   std::string instance;
   std::string store_address;  // peer address of a store; empty: not a store
   bool may_found = false;     // a store that starts for the first time
-  // How long the leader may hold an answer back. Also what tells a silent link:
-  // twice this is well below the time in which a change must be in force.
+  // How long the leader may delay a response. It also limits the time until a
+  // broken connection is detected: twice this value is well below the time in
+  // which a change must take effect.
   core::milliseconds wait{700};
-  // How much later than that an answer may come.
+  // Additional time for the response to arrive.
   core::milliseconds slack{400};
 };
 
-// Peer addresses of the stores that a view lists.
+// Returns the peer addresses of the stores in a view.
 std::vector<std::string> StoreAddresses(const fleet::view& held);
 
 class view_follower {
@@ -37,9 +38,9 @@
   boost::asio::awaitable<void> Run();
 
   const fleet::view& View() const { return view_; }
-  // Whether the weights of the engines are asked for too.
+  // Sets whether the weights of the engines are requested.
   void WantWeights(bool wants) { wants_weights_ = wants; }
-  // What this process says of the tasks that it runs, each time it asks.
+  // Sets the source of the demands that this process reports with each request.
   void TellDemands(std::function<std::vector<fleet::model_demand>()> demands) {
     demands_ = std::move(demands);
   }
@@ -49,12 +50,12 @@
   }
 
  private:
-  void Take(const envelope& answer);
+  void Apply(const envelope& answer);
 
   leader_caller& caller_;
   const follower_options options_;
   fleet::view view_;
-  bool is_in_touch_ = false;
+  bool is_following_ = false;
   bool wants_weights_ = false;
   std::function<std::vector<fleet::model_demand>()> demands_;
   std::function<void()> changed_;
