--- a/packages/controller/controller.cc
+++ b/packages/controller/controller.cc
@@ -124,8 +124,9 @@
   // of the view.
   std::vector<std::string> Contacts() const {
     std::vector<std::string> contacts = settings.seeds;
-    const std::vector<std::string>& known = follower.View().members.controllers;
-    contacts.insert(contacts.end(), known.begin(), known.end());
+    const std::vector<std::string>& controllers =
+        follower.View().members.controllers;
+    contacts.insert(contacts.end(), controllers.begin(), controllers.end());
     return contacts;
   }
 
--- a/packages/controller/heartbeat_memory.cc
+++ b/packages/controller/heartbeat_memory.cc
@@ -69,9 +69,9 @@
         i < answer.refusals.size() && answer.refusals[i].empty();
     if (!is_accepted) continue;
     const fleet::heartbeat& item = batch.heartbeats[i];
-    auto& known =
+    auto& entry =
         cache.accepted[fleet::IncarnationOf(item.name, item.started_ms)];
-    if (item.sequence >= known.latest.sequence) known = {item, now};
+    if (item.sequence >= entry.latest.sequence) entry = {item, now};
   }
   for (const std::string& incarnation : answer.unknown) {
     cache.accepted.erase(incarnation);
--- a/packages/controller/leader_service.cc
+++ b/packages/controller/leader_service.cc
@@ -327,8 +327,9 @@
 awaitable<envelope> leader_service::PublishVersion(std::string payload) {
   const auto input = core::DecodeBinary<fleet::model_version>(payload);
   if (!input) co_return Malformed();
-  const auto known = state_.Versions().find(input->model);
-  if (known != state_.Versions().end() && known->second >= input->version) {
+  const auto published = state_.Versions().find(input->model);
+  if (published != state_.Versions().end() &&
+      published->second >= input->version) {
     co_return Done();
   }
   envelope answer =
@@ -366,10 +367,10 @@
 
 void leader_service::ExpireStores() {
   const time_point now = clock_.Now();
-  const size_t gone = std::erase_if(stores_, [now](const auto& item) {
+  const size_t removed = std::erase_if(stores_, [now](const auto& item) {
     return now - item.second.last_request_at > kStoreLifetime;
   });
-  if (gone > 0) views_.NoteMembers();
+  if (removed > 0) views_.NoteMembers();
 }
 
 awaitable<envelope> leader_service::Retire(std::string method,
--- a/packages/controller/weight_book.cc
+++ b/packages/controller/weight_book.cc
@@ -187,9 +187,9 @@
 
 bool RecordVersion(weight_book& book, const std::string& incarnation,
                    const std::string& model, uint64_t version) {
-  uint64_t& known = book.engines[incarnation].versions[model];
-  const bool is_newer = version > known;
-  known = std::max(known, version);
+  uint64_t& recorded = book.engines[incarnation].versions[model];
+  const bool is_newer = version > recorded;
+  recorded = std::max(recorded, version);
   return is_newer;
 }
 
--- a/packages/controller/weight_keeper.cc
+++ b/packages/controller/weight_keeper.cc
@@ -75,17 +75,17 @@
 void weight_keeper::RecordPublications() {
   const time_point now = clock_.Now();
   for (const auto& [model, version] : state_.Versions()) {
-    publication& known = publications_[model];
-    if (version == known.version) continue;
-    if (known.version != 0 && version == known.version + 1) {
+    publication& latest = publications_[model];
+    if (version == latest.version) continue;
+    if (latest.version != 0 && version == latest.version + 1) {
       const auto gap =
-          std::chrono::duration_cast<milliseconds>(now - known.published_at);
+          std::chrono::duration_cast<milliseconds>(now - latest.published_at);
       const milliseconds sample =
           std::clamp(gap, kMinPublishPeriod, kMaxPublishPeriod);
-      known.period += (sample - known.period) / kSmoothingDivisor;
+      latest.period += (sample - latest.period) / kSmoothingDivisor;
     }
-    known.version = version;
-    known.published_at = now;
+    latest.version = version;
+    latest.published_at = now;
   }
 }
 
--- a/packages/fleet/endpoint_registry.cc
+++ b/packages/fleet/endpoint_registry.cc
@@ -41,24 +41,23 @@
 // history of the name.
 bool IsNewestIncarnation(endpoint_registry& registry, const heartbeat& input,
                          core::time_point now) {
-  known_start& known = registry.incarnations[input.name];
-  if (input.started_ms >= known.started_ms) {
-    known = {input.started_ms, now};
+  known_start& last = registry.incarnations[input.name];
+  if (input.started_ms >= last.started_ms) {
+    last = {input.started_ms, now};
     return true;
   }
-  if (now - known.last_heartbeat_at < registry.options.silent_after)
-    return false;
-  const bool is_next_of_candidate = known.candidate_ms == input.started_ms &&
-                                    input.sequence > known.candidate_sequence;
-  if (!is_next_of_candidate) {
-    known.candidate_ms = input.started_ms;
-    known.candidate_since = now;
+  if (now - last.seen_at < registry.options.silent_after) return false;
+  const bool is_next_of_older =
+      last.older_ms == input.started_ms && input.sequence > last.older_sequence;
+  if (!is_next_of_older) {
+    last.older_ms = input.started_ms;
+    last.older_from = now;
   }
-  known.candidate_sequence = input.sequence;
+  last.older_sequence = input.sequence;
   // Delayed heartbeats arrive within a short time; a live process sends
   // heartbeats for longer.
-  if (now - known.candidate_since < registry.options.silent_after) return false;
-  known = {input.started_ms, now};
+  if (now - last.older_from < registry.options.silent_after) return false;
+  last = {input.started_ms, now};
   return true;
 }
 
@@ -114,17 +113,17 @@
   const std::string incarnation = IncarnationOf(input);
   if (registry.departed.count(incarnation) != 0) return false;
   if (!IsNewestIncarnation(registry, input, now)) return false;
-  const auto known = registry.endpoints.find(incarnation);
-  if (known != registry.endpoints.end()) {
-    if (input.sequence <= known->second.sequence) return false;
+  const auto listed = registry.endpoints.find(incarnation);
+  if (listed != registry.endpoints.end()) {
+    if (input.sequence <= listed->second.sequence) return false;
   } else if (!HasResumed(registry, input)) {
     return false;
   }
   // An endpoint that is listed with this address has replaced the others
   // before. A search of all endpoints for each heartbeat would take quadratic
   // time.
-  const bool has_replaced_others = known != registry.endpoints.end() &&
-                                   known->second.item.address == input.address;
+  const bool has_replaced_others = listed != registry.endpoints.end() &&
+                                   listed->second.item.address == input.address;
   if (!has_replaced_others) ReplaceOthers(registry, input);
   registered_endpoint& entry = registry.endpoints[incarnation];
   endpoint fresh = ToEndpoint(input);
@@ -139,28 +138,28 @@
 
 bool Refresh(endpoint_registry& registry, const heartbeat_refresh& input,
              core::time_point now) {
-  const auto known = registry.endpoints.find(input.incarnation);
-  if (known == registry.endpoints.end()) return false;
-  registered_endpoint& entry = known->second;
+  const auto listed = registry.endpoints.find(input.incarnation);
+  if (listed == registry.endpoints.end()) return false;
+  registered_endpoint& entry = listed->second;
   // The return of an unresponsive endpoint changes the list, which needs its
   // heartbeat.
   if (entry.item.state == endpoint_state::kSilent) return false;
   if (input.sequence <= entry.sequence) return true;
   entry.sequence = input.sequence;
   entry.last_heartbeat_at = now;
-  known_start& start = registry.incarnations[entry.item.name];
-  if (start.started_ms == entry.item.started_ms) start.last_heartbeat_at = now;
+  known_start& last = registry.incarnations[entry.item.name];
+  if (last.started_ms == entry.item.started_ms) last.seen_at = now;
   return true;
 }
 
 bool TakeLeave(endpoint_registry& registry, const departure& input,
                core::time_point now) {
   // A departure without a start time refers to the newest incarnation.
-  const auto known = registry.incarnations.find(input.name);
+  const auto last = registry.incarnations.find(input.name);
   const bool is_of_newest =
-      input.started_ms == 0 && known != registry.incarnations.end();
+      input.started_ms == 0 && last != registry.incarnations.end();
   const std::string incarnation = IncarnationOf(
-      input.name, is_of_newest ? known->second.started_ms : input.started_ms);
+      input.name, is_of_newest ? last->second.started_ms : input.started_ms);
   registry.departed[incarnation] = now;
   registry.superseded.erase(incarnation);
   return registry.endpoints.erase(incarnation) != 0;
@@ -189,7 +188,7 @@
     return now - item.second >= options.departed_retention;
   });
   std::erase_if(registry.incarnations, [&](const auto& item) {
-    return now - item.second.last_heartbeat_at >= options.departed_retention;
+    return now - item.second.seen_at >= options.departed_retention;
   });
   return is_changed;
 }
--- a/packages/fleet/endpoint_registry.h
+++ b/packages/fleet/endpoint_registry.h
@@ -107,14 +107,14 @@
   core::time_point last_heartbeat_at{};
 };
 
-// The newest incarnation of a name, and an older one (by its start time) that
-// still sends heartbeats and may turn out to be the live one.
+// The newest incarnation of a name, and an older one that still sends
+// heartbeats and may turn out to be the live one.
 struct known_start {
   int64_t started_ms = 0;
-  core::time_point last_heartbeat_at{};
-  int64_t candidate_ms = 0;  // start of the older one; 0: none
-  core::time_point candidate_since{};
-  uint64_t candidate_sequence = 0;
+  core::time_point seen_at{};     // last heartbeat of the newest one
+  int64_t older_ms = 0;           // start of the older one; 0: none
+  core::time_point older_from{};  // when its heartbeats began to count
+  uint64_t older_sequence = 0;
 };
 
 struct endpoint_registry {
--- a/packages/peering/leader_caller.cc
+++ b/packages/peering/leader_caller.cc
@@ -51,14 +51,14 @@
 // turn.
 std::string leader_caller::NextTarget() {
   if (!leader_.empty()) return leader_;
-  std::vector<std::string> known = controllers_;
+  std::vector<std::string> targets = controllers_;
   for (const std::string& seed : seeds_) {
-    if (std::find(known.begin(), known.end(), seed) == known.end()) {
-      known.push_back(seed);
+    if (std::find(targets.begin(), targets.end(), seed) == targets.end()) {
+      targets.push_back(seed);
     }
   }
-  if (known.empty()) return own_address_;  // empty: not a control instance
-  return known[turn_++ % known.size()];
+  if (targets.empty()) return own_address_;  // empty: not a control instance
+  return targets[next_target_++ % targets.size()];
 }
 
 void leader_caller::UpdateLeader(const std::string& target,
@@ -135,9 +135,9 @@
   co_return answer;
 }
 
-awaitable<bool> TellCrashNews(leader_caller& caller, fleet::crash_news news) {
+awaitable<bool> TellCrashNews(leader_caller& caller, fleet::crash_news update) {
   const envelope answer = co_await caller.Ask(
-      kCrashNewsMethod, core::EncodeBinary(news),
+      kCrashNewsMethod, core::EncodeBinary(update),
       std::chrono::steady_clock::now() + kCrashUpdateTimeout,
       kCrashUpdateAttemptTimeout);
   co_return answer.outcome == call_outcome::kDone;
--- a/packages/peering/leader_caller.h
+++ b/packages/peering/leader_caller.h
@@ -54,7 +54,7 @@
   std::vector<std::string> seeds_;
   std::vector<std::string> controllers_;  // from the latest view
   std::string leader_;                    // latest known; empty: none
-  size_t turn_ = 0;
+  size_t next_target_ = 0;
   std::string own_address_;
   local_handler local_;
 };
@@ -62,7 +62,7 @@
 // Reports requests that were running when endpoints crashed to the control
 // leader. Returns false when the report may not have arrived.
 boost::asio::awaitable<bool> TellCrashNews(leader_caller& caller,
-                                           fleet::crash_news news);
+                                           fleet::crash_news update);
 
 }  // namespace hickorywood::peering
 
