--- a/packages/peering/leader_caller.cc
+++ b/packages/peering/leader_caller.cc
@@ -80,10 +80,10 @@
   }
 }
 
-awaitable<envelope> leader_caller::AskOne(const std::string& address,
-                                          const std::string& method,
-                                          const std::string& payload,
-                                          time_point deadline) {
+awaitable<envelope> leader_caller::AttemptCall(const std::string& address,
+                                               const std::string& method,
+                                               const std::string& payload,
+                                               time_point deadline) {
   if (local_ && address == own_address_) {
     co_return co_await local_(method, payload);
   }
@@ -116,7 +116,7 @@
   for (;;) {
     const std::string target = NextTarget();
     const time_point until = std::min(deadline, Now() + patience);
-    answer = co_await AskOne(target, method, payload, until);
+    answer = co_await AttemptCall(target, method, payload, until);
     UpdateLeader(target, answer);
     const bool should_retry = answer.outcome == call_outcome::kNotLeader ||
                               answer.outcome == call_outcome::kUnavailable ||
--- a/packages/peering/leader_caller.h
+++ b/packages/peering/leader_caller.h
@@ -41,10 +41,10 @@
                                        core::milliseconds patience);
 
   // Makes one attempt at one instance.
-  boost::asio::awaitable<envelope> AskOne(const std::string& address,
-                                          const std::string& method,
-                                          const std::string& payload,
-                                          core::time_point deadline);
+  boost::asio::awaitable<envelope> AttemptCall(const std::string& address,
+                                               const std::string& method,
+                                               const std::string& payload,
+                                               core::time_point deadline);
 
  private:
   std::string NextTarget();
--- a/tests/unit/peering/leader_caller_test.cc
+++ b/tests/unit/peering/leader_caller_test.cc
@@ -59,8 +59,8 @@
     for (int attempt = 0; attempt < kAttempts; ++attempt) {
       const core::time_point deadline =
           std::chrono::steady_clock::now() + self.script.work + kSlack;
-      const envelope answer = co_await caller.AskOne(peer.Address(), "method",
-                                                     input.body, deadline);
+      const envelope answer = co_await caller.AttemptCall(
+          peer.Address(), "method", input.body, deadline);
       if (answer.outcome != call_outcome::kDone) continue;
       ++self.answered;
       const std::string own = Payload(input, peer.Requests(), false);
@@ -139,7 +139,7 @@
   const auto call_all = [&]() -> awaitable<void> {
     for (int i = 0; i < kCalls; ++i) {
       const std::string payload = std::to_string(i);
-      const envelope answer = co_await caller.AskOne(
+      const envelope answer = co_await caller.AttemptCall(
           address, "m", payload, std::chrono::steady_clock::now() + kLimit);
       if (answer.payload == "m" + payload) ++answered;
     }
