--- a/packages/controller/heartbeat_memory.cc
+++ b/packages/controller/heartbeat_memory.cc
@@ -8,7 +8,7 @@
 // endpoint switches to another instance. Several times the period of the
 // refreshes, and below the time after which an endpoint is unresponsive.
 constexpr std::chrono::milliseconds kLeaderContactTimeout{1500};
-// After this time without a heartbeat, the endpoint is taken to report to
+// After this time without a heartbeat, the endpoint is assumed to report to
 // another instance.
 constexpr std::chrono::seconds kEntryLifetime{60};
 
--- a/packages/fleet/request_warning.h
+++ b/packages/fleet/request_warning.h
@@ -47,10 +47,10 @@
 struct request_warning {
   std::string digest;
   std::string customer;
-  std::vector<std::string> ends;      // incarnations that crashed under it
-  bool is_quarantined = false;        // not sent to any endpoint
-  int64_t length_s = 0;               // of the quarantine, from its start
-  int64_t quarantines = 0;            // so far
+  std::vector<std::string> ends;  // incarnations that crashed while running it
+  bool is_quarantined = false;    // not sent to any endpoint
+  int64_t length_s = 0;           // of the quarantine, from its start
+  int64_t quarantines = 0;        // so far
   std::vector<std::string> forgiven;  // crashes that are not attributed to it
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(request_warning, digest,
--- a/packages/peering/view_follower.cc
+++ b/packages/peering/view_follower.cc
@@ -14,7 +14,7 @@
 using core::LogEvent;
 using core::time_point;
 
-// Pause after a failed request.
+// Pause after a request for which no leader was found.
 constexpr core::milliseconds kPauseWithoutLeader{50};
 
 time_point Now() { return std::chrono::steady_clock::now(); }
--- a/tests/unit/fleet/endpoint_registry_test.cc
+++ b/tests/unit/fleet/endpoint_registry_test.cc
@@ -174,9 +174,10 @@
 }
 
 // The clock of the machine was set back before the endpoint restarted, so that
-// the new incarnation looks older. Only its continued heartbeats tell it from
-// delayed ones: it is accepted once the other incarnation has been unresponsive
-// and it has sent heartbeats with increasing sequence for as long.
+// the new incarnation looks older. Only its continued heartbeats distinguish it
+// from delayed messages: the new incarnation is accepted once the other one has
+// been unresponsive, and the new one has sent heartbeats with increasing
+// sequence for as long.
 TEST(EndpointRegistryTest, RestartWithAClockSetBackIsAcceptedEventually) {
   endpoint_registry registry;
   TakeHeartbeat(registry, BeatOfIncarnation(2000, 50), kStart);
