--- a/packages/consensus/file_storage.cc
+++ b/packages/consensus/file_storage.cc
@@ -32,15 +32,15 @@
 constexpr mode_t kFolderMode = 0700;
 constexpr char kIdentityName[] = "identity";
 constexpr char kSnapshotName[] = "snapshot";
-// The log is a row of files: the first of a folder, then this name with a
-// number.
+// The log is a sequence of files: kLogName is the first one of a folder, the
+// later ones have this prefix and a number.
 constexpr char kLogName[] = "log";
 constexpr char kLogPrefix[] = "log-";
 constexpr char kTemporarySuffix[] = ".tmp";
-// Size from which a file of the log is followed by a new one. What a snapshot
-// covers is given up by whole files, without copying: some of them hold the
-// entries that a store must keep for two minutes of a busy day.
-constexpr uint64_t kLogFileBytes = 8 * 1024 * 1024;
+// Size at which a new log file is started. Entries covered by a snapshot are
+// removed by deleting whole files, without copying. The entries that a store
+// retains for two minutes under high load fill a few files of this size.
+constexpr uint64_t kLogFileRotationBytes = 8 * 1024 * 1024;
 constexpr char kLockName[] = "lock";
 
 bool FailIo(const std::string& action, const std::string& path) {
@@ -54,7 +54,7 @@
   return false;
 }
 
-std::optional<std::string> ReadWhole(const std::string& path) {
+std::optional<std::string> ReadFile(const std::string& path) {
   const int fd = open(path.c_str(), O_RDONLY | O_CLOEXEC);
   if (fd < 0) {
     const reason_code code =
@@ -103,7 +103,7 @@
   }
 }
 
-// Entries must follow each other without a gap, or a frame is missing.
+// A gap between entries means that a frame is missing.
 bool IsContiguous(const raft_log& log) {
   uint64_t expected = log.base_index;
   return std::all_of(log.entries.begin(), log.entries.end(),
@@ -131,7 +131,7 @@
     FailIo("create", folder_);
     return std::nullopt;
   }
-  // Two processes on one folder would write over each other's votes.
+  // Two processes that use the same folder would overwrite each other's votes.
   lock_fd_ =
       open(PathOf(kLockName).c_str(), O_RDWR | O_CREAT | O_CLOEXEC, kFileMode);
   if (lock_fd_ < 0 || flock(lock_fd_, LOCK_EX | LOCK_NB) != 0) {
@@ -146,12 +146,12 @@
 }
 
 bool file_storage::LoadIdentity(stored_state& state) {
-  std::optional<std::string> text = ReadWhole(PathOf(kIdentityName));
+  std::optional<std::string> text = ReadFile(PathOf(kIdentityName));
   if (!text) {
     if (core::LastReason().code != reason_code::kNotFound) return false;
     if (!CreateFolder()) return false;
     state.is_new = true;
-    text = ReadWhole(PathOf(kIdentityName));
+    text = ReadFile(PathOf(kIdentityName));
     if (!text) return false;
   }
   const std::optional<identity_record> record =
@@ -163,16 +163,16 @@
   return true;
 }
 
-// The empty log comes first, then the identity. So a folder with an identity
-// but no log has lost its log, and with it votes: it is refused instead of
-// starting over under the old identity.
+// The empty log is created before the identity. So a folder with an identity
+// but no log has lost its log and with it votes: it is rejected instead of
+// being initialized again with the old identity.
 bool file_storage::CreateFolder() {
   const std::string empty_log = EncodeFrame(log_frame{});
-  const std::optional<std::string> log = ReadWhole(PathOf(kLogName));
+  const std::optional<std::string> log = ReadFile(PathOf(kLogName));
   const bool has_log = !ListLogFiles().empty();
   const bool is_unused = log ? *log == empty_log : !has_log;
   if (!is_unused || access(PathOf(kSnapshotName).c_str(), F_OK) == 0) {
-    return FailCorrupt("'" + folder_ + "' holds state but no identity");
+    return FailCorrupt("'" + folder_ + "' has state but no identity");
   }
   const identity_record record{core::RandomId()};
   return ReplaceFile(kLogName, empty_log) &&
@@ -180,7 +180,7 @@
 }
 
 bool file_storage::LoadSnapshot(stored_state& state) {
-  const std::optional<std::string> content = ReadWhole(PathOf(kSnapshotName));
+  const std::optional<std::string> content = ReadFile(PathOf(kSnapshotName));
   if (!content) return core::LastReason().code == reason_code::kNotFound;
   size_t offset = 0;
   std::string payload;
@@ -199,7 +199,7 @@
   return PathOf(number == 0 ? kLogName : kLogPrefix + std::to_string(number));
 }
 
-// The numbers of the log's files, oldest first.
+// Returns the numbers of the log files, oldest first.
 std::vector<uint64_t> file_storage::ListLogFiles() const {
   std::vector<uint64_t> numbers;
   std::error_code failure;
@@ -234,11 +234,12 @@
     const bool is_last = number == numbers.back();
     const auto status = LoadLogFile(number, is_first, stored, state);
     if (!status) return false;
-    // Each write is synced before the next file begins, so that only the last
-    // one can end in a torn write.
+    // Each write is synced before the next file is created, so only the last
+    // file can end with an incomplete write.
     if (*status == frame_status::kTorn) {
       if (!is_last) {
-        return FailCorrupt("'" + LogPath(number) + "' ends in a torn write");
+        return FailCorrupt("'" + LogPath(number) +
+                           "' ends with an incomplete write");
       }
       state.was_tail_cut = true;
     }
@@ -246,8 +247,8 @@
   if (!IsContiguous(stored)) {
     return FailCorrupt("the log in '" + folder_ + "' has a gap");
   }
-  // A crash between the files of WriteSnapshot leaves a newer snapshot beside
-  // an older log.
+  // A crash during WriteSnapshot can leave a new snapshot together with an old
+  // log.
   const snapshot snap = state.log.snap;
   if (stored.base_index > snap.index) {
     return FailCorrupt("the snapshot in '" + folder_ + "' is missing");
@@ -259,7 +260,8 @@
   return true;
 }
 
-// Takes up the frames of one file of the log and cuts a torn one off its end.
+// Loads the frames of one log file and truncates an incomplete frame at its
+// end.
 std::optional<frame_status> file_storage::LoadLogFile(uint64_t number,
                                                       bool is_first,
                                                       raft_log& stored,
@@ -280,8 +282,9 @@
       if (!BeginLogFile(*frame, is_first, stored)) return std::nullopt;
       base = frame->base_index;
     }
-    NoteTruncation(number, base, frame->truncate_from);
-    NotePlaces(frame->entries, {number, good_end, log.Offset() - good_end});
+    RecordTruncation(number, base, frame->truncate_from);
+    RecordPositions(frame->entries,
+                    {number, good_end, log.Offset() - good_end});
     ApplyFrame(std::move(*frame), stored, state.hard);
     Replay(state.hard.commit, stored, state);
     good_end = log.Offset();
@@ -290,7 +293,8 @@
     FailIo("read", path);
     return std::nullopt;
   }
-  // A file that follows another one may be there without its first write.
+  // A later file can exist without its first frame if the process crashed while
+  // creating it.
   const bool lacks_first = good_end == 0 && status != frame_status::kEnd;
   if (status == frame_status::kCorrupt || (is_first && lacks_first)) {
     FailCorrupt("'" + path + "' is damaged at byte " +
@@ -315,8 +319,8 @@
   return status;
 }
 
-// Hands out what is known as committed by now. Such an entry is never taken
-// back, whatever the rest of the log says.
+// Passes the entries that are known to be committed to the callback. A later
+// truncation can't remove such an entry.
 void file_storage::Replay(uint64_t commit, raft_log& stored,
                           stored_state& state) const {
   if (!replay_.on_committed) return;
@@ -324,19 +328,20 @@
   const uint64_t next = std::max(*state.replayed, stored.base_index) + 1;
   for (uint64_t index = next; index <= last; ++index) {
     replay_.on_committed(EntryAt(stored, index));
-    LeaveOnDisk(stored, index);
+    EvictData(stored, index);
     state.replayed = index;
   }
 }
 
-// Where a file of the log goes on from. Files that had been removed before a
-// loss of power may be back; they end before the next one begins, and nothing
-// of them counts.
+// Starts reading a log file: either continues `stored` or, for the first file
+// or a restart, replaces it. After a power loss, files that had been deleted
+// may exist again. They end before the next file begins, and their entries are
+// discarded.
 bool file_storage::BeginLogFile(const log_frame& frame, bool is_first,
                                 raft_log& stored) const {
-  const bool goes_on =
+  const bool continues_log =
       !is_first && !frame.is_restart && frame.base_index <= LastIndex(stored);
-  if (!goes_on) {
+  if (!continues_log) {
     stored = raft_log{};
     stored.base_index = frame.base_index;
     stored.base_term = frame.base_term;
@@ -344,7 +349,7 @@
   }
   if (frame.base_index == LastIndex(stored)) return true;
   return FailCorrupt("a file of the log in '" + folder_ +
-                     "' begins before the end of the one before");
+                     "' overlaps the previous file");
 }
 
 bool file_storage::OpenLog() {
@@ -353,9 +358,9 @@
   return log_fd_ >= 0 || FailIo("open", LogPath(number_));
 }
 
-// Begins a new file once the present one is full. Its first frame becomes
-// durable with the write that follows; without that write the file is empty or
-// torn, and nothing acknowledged was in it.
+// Starts a new file when the current one is full. Its first frame becomes
+// durable together with the following write. If that write is lost, the file is
+// empty or incomplete and contains nothing that was acknowledged.
 bool file_storage::BeginNextLogFile(const hard_state& hard) {
   const std::string path = LogPath(number_ + 1);
   const int fd =
@@ -377,7 +382,7 @@
 }
 
 bool file_storage::Write(const storage_write& write) {
-  const bool is_full = log_size_ >= kLogFileBytes && is_last_known_;
+  const bool is_full = log_size_ >= kLogFileRotationBytes && is_last_known_;
   if (is_full && !BeginNextLogFile(write.hard)) return false;
   log_frame frame;
   frame.truncate_from = write.truncate_from;
@@ -386,55 +391,55 @@
   const std::string bytes = EncodeFrame(frame);
   if (!WriteAll(log_fd_, bytes)) return FailIo("write", LogPath(number_));
   if (fdatasync(log_fd_) != 0) return FailIo("sync", LogPath(number_));
-  NoteTruncation(number_, file_base_, write.truncate_from);
+  RecordTruncation(number_, file_base_, write.truncate_from);
   if (write.truncate_from != 0) {
-    places_.erase(places_.lower_bound(write.truncate_from), places_.end());
+    frames_.erase(frames_.lower_bound(write.truncate_from), frames_.end());
   }
-  NotePlaces(write.entries, {number_, log_size_, bytes.size()});
+  RecordPositions(write.entries, {number_, log_size_, bytes.size()});
   log_size_ += bytes.size();
-  NoteLast(write);
+  UpdateLastEntry(write);
   return true;
 }
 
-// What the log ends with after a write.
-void file_storage::NoteLast(const storage_write& write) {
+// Updates the index and term of the last entry after a write.
+void file_storage::UpdateLastEntry(const storage_write& write) {
   if (!write.entries.empty()) {
     last_index_ = write.entries.back().index;
     last_term_ = write.entries.back().term;
     is_last_known_ = true;
   } else if (write.truncate_from != 0) {
-    // The term of the entry before is not at hand. The next file begins after
-    // another entry.
+    // The term of the entry before the truncation is not available here, so no
+    // new file is started until another entry has been written.
     is_last_known_ = false;
   }
 }
 
-// Without the files that it takes entries back from, the file of a truncation
-// can't be read.
-void file_storage::NoteTruncation(uint64_t number, uint64_t base,
-                                  uint64_t truncate_from) {
+// Records a truncation that removes entries of earlier files: the file with the
+// truncation can't be loaded without them.
+void file_storage::RecordTruncation(uint64_t number, uint64_t base,
+                                    uint64_t truncate_from) {
   if (truncate_from == 0 || truncate_from > base) return;
-  const auto place = places_.find(truncate_from);
-  const uint64_t from = place == places_.end() ? 0 : place->second.file;
-  const auto [known, is_new] = reaches_into_.try_emplace(number, from);
+  const auto position = frames_.find(truncate_from);
+  const uint64_t from = position == frames_.end() ? 0 : position->second.file;
+  const auto [known, is_new] = oldest_truncated_file_.try_emplace(number, from);
   if (!is_new) known->second = std::min(known->second, from);
 }
 
-void file_storage::NotePlaces(const std::vector<log_entry>& entries,
-                              frame_place place) {
-  for (const log_entry& entry : entries) places_[entry.index] = place;
+void file_storage::RecordPositions(const std::vector<log_entry>& entries,
+                                   frame_position position) {
+  for (const log_entry& entry : entries) frames_[entry.index] = position;
 }
 
 std::optional<std::string> file_storage::ReadData(uint64_t index) {
-  const auto place = places_.find(index);
-  if (place == places_.end()) {
+  const auto position = frames_.find(index);
+  if (position == frames_.end()) {
     return core::Fail(reason_code::kNotFound, "entry " + std::to_string(index) +
                                                   " is not in the log file");
   }
-  const bool is_held = read_place_.size != 0 &&
-                       read_place_.file == place->second.file &&
-                       read_place_.offset == place->second.offset;
-  if (!is_held && !ReadFrameOf(place->second)) return std::nullopt;
+  const bool is_cached = read_position_.size != 0 &&
+                         read_position_.file == position->second.file &&
+                         read_position_.offset == position->second.offset;
+  if (!is_cached && !ReadFrameOf(position->second)) return std::nullopt;
   for (const log_entry& entry : read_entries_) {
     if (entry.index == index) return entry.data;
   }
@@ -442,25 +447,25 @@
                     "entry " + std::to_string(index) + " is not in its frame");
 }
 
-bool file_storage::ReadFrameOf(frame_place place) {
-  read_place_ = frame_place{};
-  const std::string path = LogPath(place.file);
+bool file_storage::ReadFrameOf(frame_position position) {
+  read_position_ = frame_position{};
+  const std::string path = LogPath(position.file);
   const int fd = open(path.c_str(), O_RDONLY | O_CLOEXEC);
   if (fd < 0) return FailIo("open", path);
   std::string bytes;
-  const bool is_read = ReadAt(fd, place.offset, place.size, bytes);
+  const bool is_read = ReadAt(fd, position.offset, position.size, bytes);
   close(fd);
   if (!is_read) return FailIo("read", path);
   size_t end = 0;
   std::string payload;
   if (ReadFrame(bytes, end, payload) != frame_status::kGood) {
     return FailCorrupt("'" + path + "' is damaged at byte " +
-                       std::to_string(place.offset));
+                       std::to_string(position.offset));
   }
   std::optional<log_frame> frame = DecodePayload<log_frame>(payload);
   if (!frame) return false;
   read_entries_ = std::move(frame->entries);
-  read_place_ = place;
+  read_position_ = position;
   return true;
 }
 
@@ -481,7 +486,7 @@
   return SyncFolder(folder_);
 }
 
-// Begins a file that takes the place of all before it.
+// Creates a log file that replaces all earlier files.
 bool file_storage::StartLog(const raft_log& log, const hard_state& hard) {
   log_frame first;
   first.base_index = log.snap.index;
@@ -505,16 +510,16 @@
   last_index_ = LastIndex(log);
   last_term_ = LastTerm(log);
   is_last_known_ = true;
-  reaches_into_.clear();
-  places_.clear();
-  read_place_ = frame_place{};
-  NotePlaces(first.entries, {number, 0, bytes.size()});
+  oldest_truncated_file_.clear();
+  frames_.clear();
+  read_position_ = frame_position{};
+  RecordPositions(first.entries, {number, 0, bytes.size()});
   RemoveLogFilesBefore(number);
   return true;
 }
 
-// Removed names may come back after a loss of power; they do no harm then, see
-// BeginLogFile().
+// Deleted files may exist again after a power loss. BeginLogFile() discards
+// their entries.
 void file_storage::RemoveLogFilesBefore(uint64_t number) {
   for (const uint64_t old : ListLogFiles()) {
     if (old < number) unlink(LogPath(old).c_str());
@@ -528,19 +533,20 @@
 
 bool file_storage::WriteCompaction(const raft_log& log) {
   if (!ReplaceFile(kSnapshotName, EncodeFrame(log.snap))) return false;
-  places_.erase(places_.begin(), places_.upper_bound(log.snap.index));
-  read_place_ = frame_place{};
+  frames_.erase(frames_.begin(), frames_.upper_bound(log.snap.index));
+  read_position_ = frame_position{};
   RemoveLogFilesBefore(OldestNeededFile());
   return true;
 }
 
-// The file of the oldest entry after the snapshot, or one that a truncation in
-// a later file reaches into.
+// Returns the oldest file that is still needed: the one with the oldest entry
+// after the snapshot, or one whose entries a truncation in a needed file
+// removes.
 uint64_t file_storage::OldestNeededFile() const {
   uint64_t oldest = number_;
-  for (const auto& item : places_) oldest = std::min(oldest, item.second.file);
-  for (auto item = reaches_into_.rbegin(); item != reaches_into_.rend();
-       ++item) {
+  for (const auto& item : frames_) oldest = std::min(oldest, item.second.file);
+  for (auto item = oldest_truncated_file_.rbegin();
+       item != oldest_truncated_file_.rend(); ++item) {
     if (item->first >= oldest) oldest = std::min(oldest, item->second);
   }
   return oldest;
--- a/packages/consensus/file_storage.h
+++ b/packages/consensus/file_storage.h
@@ -1,11 +1,11 @@
 #ifndef HICKORYWOOD_CONSENSUS_FILE_STORAGE_H_
 #define HICKORYWOOD_CONSENSUS_FILE_STORAGE_H_
 
-// log_storage in one folder:
-//   identity  the storage id, made when the folder is first used
+// Stores the log and the snapshot of a replica in one folder:
+//   identity  the storage id, created when the folder is first used
 //   snapshot  one frame: the latest snapshot
-//   log, log-1, log-2 ...  frames (log_frames.h): first of each file the base
-//             (index, term), then one frame per durable step
+//   log, log-1, log-2 ...  frames (log_frames.h); the first frame of a file has
+//             the index and term before it, then one frame per durable write
 
 #include <cstdint>
 #include <map>
@@ -21,7 +21,7 @@
 
 class file_storage : public log_storage {
  public:
-  // `folder` is created when it does not exist.
+  // Load() creates `folder` if it doesn't exist.
   explicit file_storage(std::string folder);
   ~file_storage() override;
   file_storage(const file_storage&) = delete;
@@ -35,9 +35,9 @@
   std::optional<std::string> ReadData(uint64_t index) override;
 
  private:
-  // Where a frame lies in the files of the log.
-  struct frame_place {
-    uint64_t file = 0;  // number
+  // Position of a frame in the log files.
+  struct frame_position {
+    uint64_t file = 0;  // number of the file
     uint64_t offset = 0;
     uint64_t size = 0;
   };
@@ -52,8 +52,8 @@
                     raft_log& stored) const;
   bool BeginNextLogFile(const hard_state& hard);
   void Replay(uint64_t commit, raft_log& stored, stored_state& state) const;
-  void NoteLast(const storage_write& write);
-  void NoteTruncation(uint64_t number, uint64_t base, uint64_t truncate_from);
+  void UpdateLastEntry(const storage_write& write);
+  void RecordTruncation(uint64_t number, uint64_t base, uint64_t truncate_from);
   void RemoveLogFilesBefore(uint64_t number);
   uint64_t OldestNeededFile() const;
   std::vector<uint64_t> ListLogFiles() const;
@@ -62,28 +62,30 @@
   bool ReplaceFile(const std::string& name, const std::string& content);
   bool OpenLog();
   bool StartLog(const raft_log& log, const hard_state& hard);
-  void NotePlaces(const std::vector<log_entry>& entries, frame_place place);
-  bool ReadFrameOf(frame_place place);
+  void RecordPositions(const std::vector<log_entry>& entries,
+                       frame_position position);
+  bool ReadFrameOf(frame_position position);
   std::string PathOf(const std::string& name) const;
 
   const std::string folder_;
   log_replay replay_;
   int lock_fd_ = -1;
   int log_fd_ = -1;
-  // The file of the log that is written to, and its size.
+  // The current log file, to which writes are appended, and its size.
   uint64_t number_ = 0;
-  uint64_t file_base_ = 0;  // index before its first entry
+  uint64_t file_base_ = 0;  // index of the last entry before the file
   uint64_t log_size_ = 0;
-  // The last entry of the log.
+  // The last entry of the log; the term is valid only if is_last_known_.
   uint64_t last_index_ = 0;
   uint64_t last_term_ = 0;
   bool is_last_known_ = true;
-  // By number of a file: the oldest file that a truncation in it reaches into.
-  std::map<uint64_t, uint64_t> reaches_into_;
-  std::map<uint64_t, frame_place> places_;  // by index of an entry
-  // The frame that was read last, since a follower that is behind is sent one
-  // entry after the other.
-  frame_place read_place_;
+  // For each log file with a truncation: the number of the oldest file whose
+  // entries the truncation removes.
+  std::map<uint64_t, uint64_t> oldest_truncated_file_;
+  std::map<uint64_t, frame_position> frames_;  // by index of the entry
+  // The frame that was read last is cached, since a follower that is behind is
+  // sent consecutive entries.
+  frame_position read_position_;
   std::vector<log_entry> read_entries_;
 };
 
--- a/packages/consensus/group_health.cc
+++ b/packages/consensus/group_health.cc
@@ -8,9 +8,9 @@
 namespace hickorywood::consensus {
 namespace {
 
-// Between two lines on elections that nobody wins. A group that stands still
-// tries twice a second, for as long as it takes somebody to come and look.
-constexpr std::chrono::seconds kElectionLinePeriod{10};
+// Minimum interval between log lines about failed elections. A group without a
+// quorum attempts an election twice a second until an operator intervenes.
+constexpr std::chrono::seconds kFailedElectionLogInterval{10};
 
 std::string Names(const std::vector<member>& members) {
   std::string names;
@@ -23,28 +23,28 @@
 void LogVoters(core::event_id id, const raft_state& state,
                const std::vector<member>& missing) {
   const group_members members = ActiveMembers(state.log);
-  const size_t heard = members.voters.size() - missing.size();
+  const size_t reachable = members.voters.size() - missing.size();
   core::LogEvent(id, {{"group", state.group},
                       {"voters", std::to_string(members.voters.size())},
-                      {"heard", std::to_string(heard)},
+                      {"heard", std::to_string(reachable)},
                       {"needed", std::to_string(QuorumSize(members))},
                       {"missing", Names(missing)}});
 }
 
-bool IsStanding(const raft_state& state) {
+bool IsCandidate(const raft_state& state) {
   return state.role == raft_role::kPreCandidate ||
          state.role == raft_role::kCandidate;
 }
 
 }  // namespace
 
-bool IsSilentVoter(const raft_state& state, const member& voter,
-                   time_point now) {
+bool IsUnreachableVoter(const raft_state& state, const member& voter,
+                        time_point now) {
   const auto found = state.followers.find(voter);
   if (found == state.followers.end()) return false;
-  const time_point heard =
+  const time_point last_contact =
       std::max(found->second.confirmed_at, state.elected_at);
-  return now - heard >= state.options.replace_after;
+  return now - last_contact >= state.options.replace_after;
 }
 
 std::vector<member> MissingVoters(const raft_state& state, time_point now) {
@@ -52,7 +52,7 @@
   for (const member& voter : ActiveMembers(state.log).voters) {
     if (voter == state.self) continue;
     const bool is_missing = state.role == raft_role::kLeader
-                                ? IsSilentVoter(state, voter, now)
+                                ? IsUnreachableVoter(state, voter, now)
                                 : state.votes.count(voter) == 0;
     if (is_missing) missing.push_back(voter);
   }
@@ -61,28 +61,30 @@
 
 void group_health_log::BeforeTick(const raft_state& state, time_point now) {
   if (state.role == raft_role::kLeader) {
-    const std::vector<member> silent = MissingVoters(state, now);
-    if (silent != silent_) {
-      LogVoters(core::event_id::kVotersSilent, state, silent);
+    const std::vector<member> unreachable = MissingVoters(state, now);
+    if (unreachable != unreachable_) {
+      LogVoters(core::event_id::kVotersSilent, state, unreachable);
     }
-    silent_ = silent;
-    next_election_ = time_point{};
+    unreachable_ = unreachable;
+    next_failure_log_ = time_point{};
     return;
   }
-  silent_.clear();
-  if (IsStanding(state)) NoteElection(state, now);
-  if (!state.leader.node.empty()) next_election_ = time_point{};
+  unreachable_.clear();
+  if (IsCandidate(state)) LogFailedElection(state, now);
+  if (!state.leader.node.empty()) next_failure_log_ = time_point{};
 }
 
-// An election whose time is over without a leader. The first one after a leader
-// is often just a split vote or voters that keep their promise to it.
-void group_health_log::NoteElection(const raft_state& state, time_point now) {
+// Logs an election that timed out without a leader. The first one after the
+// loss of a leader is not logged: it is often just a split vote, or voters that
+// keep their promise to the leader.
+void group_health_log::LogFailedElection(const raft_state& state,
+                                         time_point now) {
   if (now < state.election_deadline) return;
-  if (next_election_ == time_point{}) {
-    next_election_ = now + state.options.replace_after;
+  if (next_failure_log_ == time_point{}) {
+    next_failure_log_ = now + state.options.replace_after;
   }
-  if (now < next_election_) return;
-  next_election_ = now + kElectionLinePeriod;
+  if (now < next_failure_log_) return;
+  next_failure_log_ = now + kFailedElectionLogInterval;
   LogVoters(core::event_id::kNoQuorum, state, MissingVoters(state, now));
 }
 
--- a/packages/consensus/group_replica.cc
+++ b/packages/consensus/group_replica.cc
@@ -15,14 +15,15 @@
 using core::event_id;
 using core::LogEvent;
 
-// Bytes of commands that are applied in one turn, some 10 ms of work on the
-// small instances: heartbeats come between two turns.
-constexpr size_t kApplyBytes = 256 * 1024;
+// Maximum size of the commands applied in one turn, some 10 ms of work on the
+// small instances. Heartbeats are sent between turns.
+constexpr size_t kMaxApplyBytesPerTurn = 256 * 1024;
 
-// Bytes of applied commands that stay in memory for followers a little behind,
-// some seconds of a busy day. Older ones are read from disk when one of them is
-// to be sent: held all day they took as much memory as the state itself.
-constexpr size_t kHeldBytes = 4 * 1024 * 1024;
+// Maximum size of the applied commands kept in memory for followers that are
+// slightly behind, some seconds under high load. Older entries are read from
+// disk when they must be sent: keeping all of them in memory took as much
+// memory as the state itself.
+constexpr size_t kMaxCachedBytes = 4 * 1024 * 1024;
 
 bool IsReply(message_kind kind) {
   return kind == message_kind::kPreVoteReply ||
@@ -91,22 +92,23 @@
   raft_.random.seed(settings_.random_seed);
   StartReplica(raft_, start, clock_.Now());
   if (stored->replayed) {
-    raft_.handed_out = std::max(raft_.handed_out, *stored->replayed);
+    raft_.delivered_index = std::max(raft_.delivered_index, *stored->replayed);
   } else {
     RestoreFrom(raft_.log.snap);
   }
-  // What was known as committed is applied before this replica takes part in an
-  // election. Applied after one, a day's entries kept a new leader from its
-  // heartbeats for longer than its followers wait.
-  while (const log_entry* entry = HandOutKnown(raft_)) {
+  // The entries known to be committed are applied before this replica takes
+  // part in an election. When a new leader applied a day's entries after the
+  // election, it sent no heartbeats for longer than the election timeout of its
+  // followers.
+  while (const log_entry* entry = NextCommittedEntry(raft_)) {
     ApplyEntry(*entry);
-    HoldApplied(*entry);
+    RecordApplied(*entry);
   }
-  NoteLoaded(start);
+  LogLoadedState(start);
   return true;
 }
 
-void group_replica::NoteLoaded(core::time_point start) const {
+void group_replica::LogLoadedState(core::time_point start) const {
   const auto took =
       std::chrono::duration_cast<core::milliseconds>(clock_.Now() - start);
   LogEvent(event_id::kStateLoaded,
@@ -138,47 +140,48 @@
 
 void group_replica::Flush() {
   if (has_failed_) return;
-  // A commit can free more messages, so go on until nothing is left to do.
+  // A commit can cause further messages, so repeat until there is no work left.
   for (;;) {
     SendPending(raft_, clock_.Now(), out_);
     raft_output out = std::move(out_);
     out_ = raft_output{};
     SendBeforeSync(out);
     if (!Persist(out)) return;
-    NoteRole();
+    HandleRoleChange();
     if (out.snapshot_installed) {
       LogEvent(event_id::kSnapshotInstalled,
                {{"index", std::to_string(raft_.log.snap.index)}});
       backlog_.clear();
       RestoreFrom(raft_.log.snap);
-      FailWaiting();
+      FailPendingProposals();
     }
     std::move(out.committed.begin(), out.committed.end(),
               std::back_inserter(backlog_));
     RouteMessages(out.messages);
-    const bool has_applied = ApplySome();
-    if (has_applied) {
+    const bool has_applied_entries = ApplyBacklog();
+    if (has_applied_entries) {
       SaveSnapshotIfDue();
       machine_.OnApplied();
     }
-    const bool is_quiet = out_.messages.empty() && out_.appended.empty() &&
-                          !out_.hard_state_changed;
-    if (is_quiet && (!has_applied || HasBacklog())) break;
+    const bool is_idle = out_.messages.empty() && out_.appended.empty() &&
+                         !out_.hard_state_changed;
+    if (is_idle && (!has_applied_entries || HasBacklog())) break;
   }
-  // A message whose answer is empty is answered too, so that its connection is
-  // free again.
+  // Messages without a reply are completed too, so that their connections can
+  // be used again.
   std::vector<inbound_message> rest = std::move(inbound_);
   inbound_.clear();
   for (inbound_message& item : rest) item.reply({});
 }
 
-// A leader's entries may travel while its own sync runs: the leader counts its
-// own copy only in later calls, after the sync. Everything else that a replica
-// says rests on what it has on disk and waits.
+// A leader may send entries while its own write is not yet synced: it counts
+// its own copy only in later calls, after the sync. All other messages of a
+// replica depend on its durable state and are sent after the sync.
 void group_replica::SendBeforeSync(raft_output& out) {
-  const bool may_go_first = raft_.role == raft_role::kLeader &&
-                            !out.hard_state_changed && !out.snapshot_installed;
-  if (!may_go_first) return;
+  const bool may_send_before_sync = raft_.role == raft_role::kLeader &&
+                                    !out.hard_state_changed &&
+                                    !out.snapshot_installed;
+  if (!may_send_before_sync) return;
   const auto first_append = std::stable_partition(
       out.messages.begin(), out.messages.end(), [](const message& output) {
         return output.kind != message_kind::kAppend;
@@ -189,7 +192,7 @@
   out.messages.erase(first_append, out.messages.end());
 }
 
-// Puts data that is only on disk back into an append.
+// Sends a message after reading the entry data that is only on disk.
 void group_replica::SendWithData(message output) {
   for (log_entry& entry : output.entries) {
     if (entry.bytes_on_disk == 0) continue;
@@ -207,8 +210,8 @@
 void group_replica::RestoreFrom(const snapshot& snap) {
   applied_ = snap.index;
   applied_bytes_ = 0;
-  held_.clear();
-  held_bytes_ = 0;
+  cached_.clear();
+  cached_bytes_ = 0;
   machine_.Restore(snap.index, snap.data);
 }
 
@@ -221,15 +224,15 @@
   return storage_.ReadData(index);
 }
 
-// Notes an applied entry and frees the oldest data beyond the bound.
-void group_replica::HoldApplied(const log_entry& entry) {
-  held_.emplace_back(entry.index, entry.data.size());
-  held_bytes_ += entry.data.size();
-  while (held_bytes_ > kHeldBytes) {
-    const auto [index, bytes] = held_.front();
-    held_.pop_front();
-    held_bytes_ -= bytes;
-    LeaveOnDisk(raft_.log, index);
+// Records an applied entry and releases the oldest data above the limit.
+void group_replica::RecordApplied(const log_entry& entry) {
+  cached_.emplace_back(entry.index, entry.data.size());
+  cached_bytes_ += entry.data.size();
+  while (cached_bytes_ > kMaxCachedBytes) {
+    const auto [index, bytes] = cached_.front();
+    cached_.pop_front();
+    cached_bytes_ -= bytes;
+    EvictData(raft_.log, index);
   }
 }
 
@@ -246,43 +249,43 @@
   return is_durable;
 }
 
-// After a failed sync nobody can tell what is on disk. Going on would
-// acknowledge what may be lost.
+// After a failed sync the state on disk is undefined. Continuing could
+// acknowledge entries that are lost.
 void group_replica::FailStorage() {
   has_failed_ = true;
   LogEvent(event_id::kStorageFailed, {{"reason", core::LastReason().text}});
   machine_.OnStorageFailure();
 }
 
-// Applies committed entries for one turn. True when there were any.
-bool group_replica::ApplySome() {
+// Applies committed entries for one turn. Returns whether there were any.
+bool group_replica::ApplyBacklog() {
   size_t bytes = 0;
-  bool has_applied = false;
-  while (!backlog_.empty() && bytes < kApplyBytes) {
+  bool has_applied_entries = false;
+  while (!backlog_.empty() && bytes < kMaxApplyBytesPerTurn) {
     const log_entry entry = std::move(backlog_.front());
     backlog_.pop_front();
     bytes += entry.data.size();
     ApplyEntry(entry);
-    HoldApplied(entry);
-    has_applied = true;
+    RecordApplied(entry);
+    has_applied_entries = true;
   }
-  return has_applied;
+  return has_applied_entries;
 }
 
 void group_replica::ApplyEntry(const log_entry& entry) {
   applied_ = entry.index;
   applied_bytes_ += static_cast<int64_t>(entry.data.size());
-  if (entry.kind == entry_kind::kMembers) NoteMembers(entry);
+  if (entry.kind == entry_kind::kMembers) LogMembers(entry);
   if (entry.kind == entry_kind::kCommand) machine_.Apply(entry);
   const auto waiting = proposals_.find(entry.index);
   if (waiting == proposals_.end()) return;
-  const waiting_proposal proposal = std::move(waiting->second);
+  const pending_proposal proposal = std::move(waiting->second);
   proposals_.erase(waiting);
   proposal.done(proposal.term == entry.term ? proposal_end::kCommitted
                                             : proposal_end::kLost);
 }
 
-void group_replica::NoteMembers(const log_entry& entry) {
+void group_replica::LogMembers(const log_entry& entry) {
   const std::optional<group_members> members =
       core::Decode<group_members>(entry.data);
   if (!members) return;
@@ -332,7 +335,7 @@
   }
 }
 
-void group_replica::NoteRole() {
+void group_replica::HandleRoleChange() {
   const bool is_leader = raft_.role == raft_role::kLeader;
   if (is_leader == was_leader_) return;
   was_leader_ = is_leader;
@@ -340,11 +343,11 @@
       is_leader ? event_id::kLeaderElected : event_id::kLeadershipLost,
       {{"node", settings_.node}, {"term", std::to_string(raft_.hard.term)}});
   machine_.OnLeadership(is_leader);
-  if (!is_leader) FailWaiting();
+  if (!is_leader) FailPendingProposals();
 }
 
-void group_replica::FailWaiting() {
-  std::map<uint64_t, waiting_proposal> proposals = std::move(proposals_);
+void group_replica::FailPendingProposals() {
+  std::map<uint64_t, pending_proposal> proposals = std::move(proposals_);
   proposals_.clear();
   for (auto& item : proposals) item.second.done(proposal_end::kLost);
 }
@@ -368,9 +371,9 @@
 }
 
 bool group_replica::HandOver() {
-  const bool is_asked = consensus::HandOver(raft_, clock_.Now(), out_);
+  const bool is_started = consensus::HandOver(raft_, clock_.Now(), out_);
   Flush();
-  return is_asked;
+  return is_started;
 }
 
 bool group_replica::IsServing() const {
--- a/packages/consensus/lease.cc
+++ b/packages/consensus/lease.cc
@@ -32,7 +32,7 @@
 }
 
 std::chrono::nanoseconds LeaseLeft(const raft_state& state, time_point now) {
-  if (state.role != raft_role::kLeader || state.is_lease_given_up) {
+  if (state.role != raft_role::kLeader || state.is_lease_released) {
     return std::chrono::nanoseconds(0);
   }
   return LeaseStart(state, now) + state.options.leader_lease - now;
--- a/packages/consensus/log_frames.cc
+++ b/packages/consensus/log_frames.cc
@@ -20,18 +20,17 @@
 constexpr size_t kHeaderBytes = kChecksumOffset + kChecksumBytes;
 constexpr size_t kSectorBytes = 512;
 
-// The length has a check of its own: a damaged length that points past the end
-// of the file would otherwise look like a torn write, and everything after it
-// would be cut off.
+// The length has its own check: a damaged length that points past the end of
+// the file would otherwise look like an incomplete write, and everything after
+// it would be truncated.
 uint32_t LengthCheck(uint32_t length) {
   const std::string_view bytes(reinterpret_cast<const char*>(&length),
                                sizeof(length));
   return static_cast<uint32_t>(core::Hash64(bytes));
 }
 
-// Whether the content from some sector of the frame to the end of the file was
-// never written: the file was made longer before the crash, but the bytes did
-// not arrive and read as zeros.
+// Whether the file from some sector of the frame on was never written: a crash
+// can leave a file extended while the data, missing on disk, reads as zeros.
 bool HasUnwrittenTail(const std::string& content, size_t frame_start) {
   const size_t last_data = content.find_last_not_of('\0');
   const size_t data_end = last_data == std::string::npos ? 0 : last_data + 1;
@@ -114,27 +113,27 @@
   if (!ReadAt(fd_, offset_, kHeaderBytes, bytes)) {
     return frame_status::kUnreadable;
   }
-  if (bytes.size() < kHeaderBytes) return JudgeRest();
+  if (bytes.size() < kHeaderBytes) return ClassifyInvalidFrame();
   uint32_t length = 0;
   uint32_t length_check = 0;
   std::memcpy(&length, bytes.data(), kLengthBytes);
   std::memcpy(&length_check, bytes.data() + kLengthBytes, kLengthCheckBytes);
-  // A damaged length could ask for more memory than there is.
-  if (length_check != LengthCheck(length)) return JudgeRest();
+  // Without this check a damaged length could cause a huge allocation.
+  if (length_check != LengthCheck(length)) return ClassifyInvalidFrame();
   if (!ReadAt(fd_, offset_, kHeaderBytes + length, bytes)) {
     return frame_status::kUnreadable;
   }
   size_t end = 0;
   if (ReadFrame(bytes, end, payload_) != frame_status::kGood) {
-    return JudgeRest();
+    return ClassifyInvalidFrame();
   }
   offset_ += end;
   return frame_status::kGood;
 }
 
-// Whether what is not a good frame was torn or changed shows only in all that
-// follows it.
-frame_status frame_reader::JudgeRest() {
+// Classifies an invalid frame. Only the rest of the file shows whether the
+// frame was incompletely written or damaged later.
+frame_status frame_reader::ClassifyInvalidFrame() {
   const off_t size = lseek(fd_, 0, SEEK_END);
   if (size < 0) return frame_status::kUnreadable;
   std::string rest;
--- a/packages/consensus/log_frames.h
+++ b/packages/consensus/log_frames.h
@@ -1,10 +1,10 @@
 #ifndef HICKORYWOOD_CONSENSUS_LOG_FRAMES_H_
 #define HICKORYWOOD_CONSENSUS_LOG_FRAMES_H_
 
-// The frames of a log file and of a snapshot file. A frame is: payload length
-// (4 bytes), check of the length (4), checksum of the payload (8), payload
-// (CBOR). One durable step is one frame and one sync, so a crash can only tear
-// the last frame of a file.
+// Frames of log files and snapshot files. A frame consists of the payload
+// length (4 bytes), a check of the length (4), a checksum of the payload (8)
+// and the payload (CBOR). Each durable write is one frame and one sync, so a
+// crash can only leave the last frame of a file incomplete.
 
 #include <cstddef>
 #include <cstdint>
@@ -21,10 +21,11 @@
 
 // One frame of a log file.
 struct log_frame {
-  // First frame of a file only: the last entry before it.
+  // First frame of a file only: index and term of the last entry before the
+  // file.
   uint64_t base_index = 0;
   uint64_t base_term = 0;
-  // First frame of a file only: the files before it count for nothing.
+  // First frame of a file only: the files before this one are obsolete.
   bool is_restart = false;
   uint64_t truncate_from = 0;
   std::vector<log_entry> entries;
@@ -38,19 +39,19 @@
 
 std::string EncodeFrame(const nlohmann::json& value);
 
-// Reads the frame at `offset` and moves past it. A bad frame is torn only when
-// it is the last one and incomplete; a whole frame with a wrong checksum was
-// changed after it had been written, and cutting it would forget a vote or an
-// acknowledged entry.
+// Reads the frame at `offset` and advances `offset`. An invalid frame is kTorn
+// only if it is the last one and incomplete. A complete frame with a wrong
+// checksum was damaged after it had been written: removing it would lose a vote
+// or an acknowledged entry.
 frame_status ReadFrame(const std::string& content, size_t& offset,
                        std::string& payload);
 
-// Reads `size` bytes at `offset`, or what there is up to the end of the file.
-// False: the file can't be read.
+// Reads up to `size` bytes at `offset`, fewer at the end of the file. Returns
+// false if the file can't be read.
 bool ReadAt(int fd, uint64_t offset, size_t size, std::string& bytes);
 
-// Reads a log file frame by frame, so that a restart does not hold the whole
-// file in memory beside what it makes of it.
+// Reads a log file frame by frame, so that a restart doesn't need memory for
+// the whole file in addition to the decoded entries.
 class frame_reader {
  public:
   explicit frame_reader(const std::string& path);
@@ -59,21 +60,21 @@
   frame_reader& operator=(const frame_reader&) = delete;
 
   bool IsOpen() const { return fd_ >= 0; }
-  // Where the next frame begins.
+  // Offset of the next frame.
   uint64_t Offset() const { return offset_; }
   const std::string& Payload() const { return payload_; }
 
   frame_status Next();
 
  private:
-  frame_status JudgeRest();
+  frame_status ClassifyInvalidFrame();
 
   const int fd_;
   uint64_t offset_ = 0;
   std::string payload_;
 };
 
-// Empty with reason kCorrupt when it is no T.
+// Returns nothing, with reason kCorrupt, if the payload is not a valid T.
 template <typename T>
 std::optional<T> DecodePayload(const std::string& payload) {
   try {
--- a/packages/consensus/members.cc
+++ b/packages/consensus/members.cc
@@ -9,8 +9,7 @@
   return std::find(list.begin(), list.end(), who) != list.end();
 }
 
-// Removes the members on the instance of `who` and tells whether there were
-// any.
+// Removes the members on the instance of `who`. Returns whether there were any.
 bool RemoveNode(std::vector<member>& list, const member& who) {
   const auto on_node = [&who](const member& other) {
     return other.node == who.node;
--- a/packages/consensus/raft.cc
+++ b/packages/consensus/raft.cc
@@ -20,10 +20,10 @@
   return result;
 }
 
-void HandOutCommitted(raft_state& state, raft_output& out) {
-  while (state.handed_out < state.commit) {
-    ++state.handed_out;
-    out.committed.push_back(EntryAt(state.log, state.handed_out));
+void DeliverCommitted(raft_state& state, raft_output& out) {
+  while (state.delivered_index < state.commit) {
+    ++state.delivered_index;
+    out.committed.push_back(EntryAt(state.log, state.delivered_index));
   }
 }
 
@@ -52,7 +52,7 @@
 using internal::BecomeFollower;
 using internal::MakeMessage;
 
-void DrawElectionDeadline(raft_state& state, time_point now) {
+void ResetElectionDeadline(raft_state& state, time_point now) {
   const int64_t base = state.options.election_timeout.count();
   std::uniform_int_distribution<int64_t> spread(0, base);
   state.election_deadline = now + milliseconds(base + spread(state.random));
@@ -64,16 +64,16 @@
   return input.index >= LastIndex(state.log);
 }
 
-void AskForVotes(raft_state& state, message_kind kind, uint64_t term,
-                 bool is_transfer, raft_output& out) {
+void RequestVotes(raft_state& state, message_kind kind, uint64_t term,
+                  bool is_transfer, raft_output& out) {
   for (const member& voter : ActiveMembers(state.log).voters) {
     if (voter == state.self) continue;
-    message ask = MakeMessage(state, kind, voter);
-    ask.term = term;
-    ask.index = LastIndex(state.log);
-    ask.log_term = LastTerm(state.log);
-    ask.is_transfer = is_transfer;
-    out.messages.push_back(std::move(ask));
+    message request = MakeMessage(state, kind, voter);
+    request.term = term;
+    request.index = LastIndex(state.log);
+    request.log_term = LastTerm(state.log);
+    request.is_transfer = is_transfer;
+    out.messages.push_back(std::move(request));
   }
 }
 
@@ -93,27 +93,27 @@
   state.hard.voted_for = state.self;
   out.hard_state_changed = true;
   state.votes = {state.self};
-  DrawElectionDeadline(state, now);
+  ResetElectionDeadline(state, now);
   if (HasVoteQuorum(state)) {
     internal::BecomeLeader(state, now, out);
     return;
   }
-  AskForVotes(state, message_kind::kVote, state.hard.term, is_transfer, out);
+  RequestVotes(state, message_kind::kVote, state.hard.term, is_transfer, out);
 }
 
-// Asks first whether an election could be won. Without this, a replica that was
-// cut off comes back with a higher term and deposes a healthy leader for
-// nothing.
+// Checks whether an election could succeed before starting it. Otherwise a
+// replica that was disconnected would return with a higher term and depose a
+// healthy leader.
 void StartPreVote(raft_state& state, time_point now, raft_output& out) {
   state.role = raft_role::kPreCandidate;
   state.leader = member{};
   state.votes = {state.self};
-  DrawElectionDeadline(state, now);
+  ResetElectionDeadline(state, now);
   if (HasVoteQuorum(state)) {
     StartElection(state, now, false, out);
     return;
   }
-  AskForVotes(state, message_kind::kPreVote, state.hard.term + 1, false, out);
+  RequestVotes(state, message_kind::kPreVote, state.hard.term + 1, false, out);
 }
 
 void ReceivePreVote(raft_state& state, time_point now, const message& input,
@@ -127,8 +127,8 @@
 
 void ReceiveVote(raft_state& state, time_point now, const message& input,
                  raft_output& out) {
-  // A voter that still holds its promise ignores the term too: taking it over
-  // would end the leader's term while the leader's lease still runs.
+  // A voter with a valid promise to a leader also ignores the new term:
+  // adopting it would end the leader's term while its lease is valid.
   const bool may_vote = input.is_transfer || !IsPromisedToLeader(state, now);
   if (may_vote && input.term > state.hard.term) {
     BecomeFollower(state, input.term, member{}, out);
@@ -143,7 +143,7 @@
   if (reply.granted) {
     state.hard.voted_for = input.from;
     out.hard_state_changed = true;
-    DrawElectionDeadline(state, now);
+    ResetElectionDeadline(state, now);
   }
   out.messages.push_back(std::move(reply));
 }
@@ -171,8 +171,8 @@
   if (HasVoteQuorum(state)) internal::BecomeLeader(state, now, out);
 }
 
-// Takes a message of the current or a newer leader as a sign of life. False
-// when it is of an old one.
+// Records contact from the current or a newer leader. Returns false if the
+// message is from an old leader.
 bool AcceptLeader(raft_state& state, time_point now, const message& input,
                   message_kind reply_kind, raft_output& out) {
   if (input.term < state.hard.term) {
@@ -184,7 +184,7 @@
     BecomeFollower(state, input.term, input.from, out);
   }
   state.leader_contact = now;
-  DrawElectionDeadline(state, now);
+  ResetElectionDeadline(state, now);
   return true;
 }
 
@@ -200,10 +200,10 @@
       out.truncate_from == 0 ? first : std::min(out.truncate_from, first);
 }
 
-void TakeEntries(raft_state& state, const message& input, raft_output& out) {
+void MergeEntries(raft_state& state, const message& input, raft_output& out) {
   for (const log_entry& entry : input.entries) {
     if (entry.index <= state.commit) {
-      continue;  // committed entries are equal on every replica
+      continue;  // committed entries are identical on every replica
     }
     const std::optional<uint64_t> term = TermAt(state.log, entry.index);
     if (term && *term == entry.term) continue;
@@ -220,18 +220,18 @@
   const std::optional<uint64_t> term = TermAt(state.log, input.index);
   const bool is_committed = input.index <= state.commit;
   if (!is_committed && (!term || *term != input.log_term)) {
-    // The leader goes on from here: entries up to the commit are known to
-    // match.
+    // The leader continues after this index. Entries up to the commit index
+    // match the leader's log.
     const uint64_t before = input.index == 0 ? 0 : input.index - 1;
     reply.index =
         std::max(state.commit, std::min(LastIndex(state.log), before));
     out.messages.push_back(std::move(reply));
     return;
   }
-  TakeEntries(state, input, out);
+  MergeEntries(state, input, out);
   const uint64_t last_new = input.index + input.entries.size();
   state.commit = std::max(state.commit, std::min(input.commit, last_new));
-  internal::HandOutCommitted(state, out);
+  internal::DeliverCommitted(state, out);
   reply.granted = true;
   reply.index = last_new;
   out.messages.push_back(std::move(reply));
@@ -241,7 +241,7 @@
   snapshot complete = std::move(state.incoming);
   state.incoming = snapshot{};
   state.commit = complete.index;
-  state.handed_out = complete.index;
+  state.delivered_index = complete.index;
   ResetTo(state.log, std::move(complete));
   out.appended.clear();
   out.truncate_from = 0;
@@ -289,10 +289,10 @@
   StartElection(state, now, true, out);
 }
 
-// Messages for another group, or for the identity that this instance had on a
-// lost disk, are not for this replica. A replica without a group takes the
-// first group that addresses it by its storage id, which only the leader that
-// admitted it as a learner knows.
+// Rejects messages for another group and messages for the identity that this
+// instance had on a lost disk. A replica without a group joins the first group
+// that addresses it by its storage id: only the leader that admitted it as a
+// learner has that id.
 bool IsForThisReplica(raft_state& state, const message& input) {
   if (input.kind == message_kind::kJoin) {
     return input.group.empty() || input.group == state.group;
@@ -313,20 +313,20 @@
   state.group = state.log.snap.group;
   state.commit = std::max(state.log.snap.index,
                           std::min(state.hard.commit, LastIndex(state.log)));
-  state.handed_out = state.log.snap.index;
+  state.delivered_index = state.log.snap.index;
   state.leader_contact = started;
-  // Drawn from now on, so that replicas that loaded as long do not all stand at
-  // the same moment.
-  DrawElectionDeadline(state, now);
+  // The timeout starts at `now`, so that replicas that took equally long to
+  // load don't all start an election at the same time.
+  ResetElectionDeadline(state, now);
   const milliseconds loading =
       std::chrono::duration_cast<milliseconds>(now - started);
   state.election_deadline -= std::min(loading, state.options.election_timeout);
 }
 
-const log_entry* HandOutKnown(raft_state& state) {
-  if (state.handed_out >= state.commit) return nullptr;
-  ++state.handed_out;
-  return &EntryAt(state.log, state.handed_out);
+const log_entry* NextCommittedEntry(raft_state& state) {
+  if (state.delivered_index >= state.commit) return nullptr;
+  ++state.delivered_index;
+  return &EntryAt(state.log, state.delivered_index);
 }
 
 bool BootstrapGroup(raft_state& state, const std::string& group, time_point now,
--- a/packages/consensus/raft_leader.cc
+++ b/packages/consensus/raft_leader.cc
@@ -1,4 +1,5 @@
-// The leader's side of the protocol: replication, commit, members, hand-over.
+// The leader's part of the protocol: replication, commit, membership changes,
+// leadership transfer.
 
 #include <algorithm>
 #include <optional>
@@ -24,7 +25,7 @@
   return time_point(std::chrono::nanoseconds(nanos));
 }
 
-// Keeps one progress record for each other member of the group.
+// Updates state.followers to contain exactly the other members of the group.
 void RefreshFollowers(raft_state& state) {
   const group_members members = ActiveMembers(state.log);
   std::vector<member> others = members.voters;
@@ -42,9 +43,9 @@
   }
 }
 
-// Commits what a quorum has on disk. Only an entry of the leader's own term may
-// be counted: an older one with a quorum can still be overwritten by a later
-// leader that lacks it.
+// Commits the entries that are durable on a quorum. Only an entry of the
+// leader's own term may be counted: an older entry can be overwritten by a
+// later leader that lacks it even if it is stored on a quorum.
 void AdvanceCommit(raft_state& state, raft_output& out) {
   const group_members members = ActiveMembers(state.log);
   std::vector<uint64_t> durable;
@@ -63,7 +64,7 @@
     return;
   }
   state.commit = candidate;
-  internal::HandOutCommitted(state, out);
+  internal::DeliverCommitted(state, out);
 }
 
 uint64_t AppendAsLeader(raft_state& state, entry_kind kind, std::string data,
@@ -102,8 +103,8 @@
   progress.sent_at = now;
   if (progress.first_sent_at == time_point{}) progress.first_sent_at = now;
   const std::optional<uint64_t> log_term = TermAt(state.log, progress.next - 1);
-  const bool is_held = log_term && progress.next > state.log.base_index;
-  if (!is_held) {
+  const bool is_in_memory = log_term && progress.next > state.log.base_index;
+  if (!is_in_memory) {
     SendSnapshotPiece(state, to, progress, out);
     return;
   }
@@ -117,32 +118,32 @@
   out.messages.push_back(std::move(append));
 }
 
-// One change at a time, and none before an entry of this term is committed: two
-// leaders with different unfinished changes could otherwise form quorums that
-// share no member.
+// Only one change at a time, and none before an entry of this term is
+// committed: two leaders with different uncommitted changes could otherwise
+// form quorums that share no member.
 bool MayChangeMembers(const raft_state& state) {
   return state.commit >= state.term_start_index &&
          LastMembersIndex(state.log) <= state.commit;
 }
 
-// Whether the group has all the voters that it wants.
-bool IsFull(const raft_state& state, const group_members& members) {
+// Whether the group has its target number of voters.
+bool HasAllVoters(const raft_state& state, const group_members& members) {
   return state.options.wanted_voters != 0 &&
          members.voters.size() >= state.options.wanted_voters;
 }
 
-// The voter that another instance may take the place of: one that is leaving,
-// otherwise one that has been silent for long. Empty: none.
+// Returns the voter that another instance may replace: one that is leaving,
+// otherwise one that is unreachable.
 std::optional<member> ReplaceableVoter(const raft_state& state,
                                        const group_members& members,
                                        time_point now) {
-  std::optional<member> silent;
+  std::optional<member> unreachable;
   for (const member& voter : members.voters) {
     if (voter == state.self) continue;
     if (state.leaving.count(voter.node) != 0) return voter;
-    if (IsSilentVoter(state, voter, now)) silent = voter;
+    if (IsUnreachableVoter(state, voter, now)) unreachable = voter;
   }
-  return silent;
+  return unreachable;
 }
 
 bool HasOtherIdentity(const group_members& members, const member& who) {
@@ -152,20 +153,21 @@
                      });
 }
 
-// Whether a caught-up learner may become a voter now. In a full group only when
-// there is a voter that can go for it; that one goes afterwards. The other way
-// round a voter that was only silent for a while could be out while another one
-// loses its disk, and then nobody is left who may vote it in again.
-bool HasPlace(const raft_state& state, const group_members& members,
-              const member& learner, time_point now) {
-  return HasOtherIdentity(members, learner) || !IsFull(state, members) ||
+// Whether an up-to-date learner may become a voter now. In a full group it may
+// do so only if another voter can be removed, and that voter is removed
+// afterwards. In the opposite order, a voter that was only temporarily
+// unreachable could be removed while another one loses its disk, and then no
+// quorum would be left to admit it again.
+bool MayBecomeVoter(const raft_state& state, const group_members& members,
+                    const member& learner, time_point now) {
+  return HasOtherIdentity(members, learner) || !HasAllVoters(state, members) ||
          (members.voters.size() == state.options.wanted_voters &&
           ReplaceableVoter(state, members, now).has_value());
 }
 
-// Brings a learner into the vote once its copy is durable up to the commit:
-// counted earlier, a second loss right after a repair could take the only
-// complete copies.
+// Promotes a learner to voter once its log is durable up to the commit index.
+// If it were counted earlier, a second loss right after a repair could destroy
+// the only complete copies.
 void AdmitLearners(raft_state& state, time_point now, raft_output& out) {
   if (!MayChangeMembers(state)) return;
   const group_members members = ActiveMembers(state.log);
@@ -175,17 +177,18 @@
     const bool is_live =
         now - found->second.confirmed_at < state.options.election_timeout;
     if (!is_live || found->second.match < state.commit) continue;
-    if (!HasPlace(state, members, learner, now)) continue;
+    if (!MayBecomeVoter(state, members, learner, now)) continue;
     AppendAsLeader(state, entry_kind::kMembers,
                    core::Encode(NextTowardsVoter(members, learner)), out);
     return;
   }
 }
 
-// Learners beyond the places that are free and the spare ones. All instances
-// ask when a place is free; taken in at once they were sent the whole log at
-// the same time, and the leader had no processor time left for its heartbeats.
-bool TakesLearners(const raft_state& state, const group_members& members) {
+// Whether the group accepts another learner: there may be one for each missing
+// voter, plus the spare ones. All instances ask to join when a voter is
+// missing. When all of them were accepted at once, each received the whole log
+// at the same time, and the leader had no CPU time left for its heartbeats.
+bool AcceptsLearners(const raft_state& state, const group_members& members) {
   const size_t wanted = state.options.wanted_voters;
   const size_t voters = members.voters.size();
   const size_t places = wanted > voters ? wanted - voters : 0;
@@ -193,7 +196,8 @@
          members.learners.size() < places + state.options.spare_learners;
 }
 
-bool IsSilent(const raft_state& state, const member& learner, time_point now) {
+bool IsUnreachableLearner(const raft_state& state, const member& learner,
+                          time_point now) {
   const auto found = state.followers.find(learner);
   if (found == state.followers.end()) return false;
   const follower_progress& progress = found->second;
@@ -202,16 +206,17 @@
              state.options.replace_after;
 }
 
-// Whether the group may drop a voter that is leaving or silent. Beyond the
-// wanted size its successor votes already. Below it an instance that is gone
-// for good went on counting: it and one lost disk stopped a group of four for
-// ever, with all that only the group can find. The group must be no weaker by
-// the drop. An even one is not: four voters bear one loss and so do three,
-// whether the silent one comes back or not, and once it is gone three bear one
-// more. An odd one is weaker if the only silent one comes back; of two that are
-// silent one may go, since the group is even then and the other one follows.
-bool MayDropVoter(const raft_state& state, const group_members& members,
-                  time_point now) {
+// Whether the group may remove a voter that is leaving or unreachable. Above
+// the target size its replacement is already a voter. Below the target size an
+// unreachable voter still counts towards the quorum: one such voter and one
+// lost disk blocked a group of four forever. Removing a voter must not reduce
+// the number of failures that the group tolerates. For an even size it doesn't:
+// four voters tolerate one failure and so do three, and three tolerate one more
+// if the removed voter never returns. An odd group would tolerate less if its
+// only unreachable voter returned. If two voters are unreachable, one may be
+// removed, which makes the size even, and then the other one too.
+bool MayRemoveVoter(const raft_state& state, const group_members& members,
+                    time_point now) {
   const size_t voters = members.voters.size();
   const size_t wanted = state.options.wanted_voters;
   if (wanted != 0 && voters > wanted) return true;
@@ -219,30 +224,32 @@
   return voters % 2 == 0 || MissingVoters(state, now).size() >= 2;
 }
 
-// Drops a voter that is leaving or silent where the group may, and learners
-// that are leaving, or silent where another one could take the place.
-void DropSpare(raft_state& state, time_point now, raft_output& out) {
+// Removes a voter that is leaving or unreachable if the group may do so. Also
+// removes learners that are leaving, and unreachable ones if another learner
+// could take their place.
+void RemoveUnneededMembers(raft_state& state, time_point now,
+                           raft_output& out) {
   if (!MayChangeMembers(state)) return;
   group_members members = ActiveMembers(state.log);
-  const bool is_crowded = !TakesLearners(state, members);
+  const bool has_all_learners = !AcceptsLearners(state, members);
   const size_t learners =
       std::erase_if(members.learners, [&](const member& who) {
         return state.leaving.count(who.node) != 0 ||
-               (is_crowded && IsSilent(state, who, now));
+               (has_all_learners && IsUnreachableLearner(state, who, now));
       });
-  std::optional<member> victim;
-  if (MayDropVoter(state, members, now)) {
-    victim = ReplaceableVoter(state, members, now);
+  std::optional<member> replaced;
+  if (MayRemoveVoter(state, members, now)) {
+    replaced = ReplaceableVoter(state, members, now);
   }
-  if (victim) std::erase(members.voters, *victim);
-  if (learners == 0 && !victim) return;
+  if (replaced) std::erase(members.voters, *replaced);
+  if (learners == 0 && !replaced) return;
   AppendAsLeader(state, entry_kind::kMembers, core::Encode(members), out);
 }
 
-// Takes the echo of a sending time as the moment from which the follower's
-// promise runs. False when the reply shows that this leader is out of date or
-// unknown to the follower.
-bool NoteReply(raft_state& state, const message& input, raft_output& out) {
+// Updates the follower's state from a reply. The follower's promise starts at
+// the sending time that the reply repeats. Returns false if this replica is no
+// longer the leader of the current term or the sender is not a member.
+bool RecordReply(raft_state& state, const message& input, raft_output& out) {
   if (input.term > state.hard.term) {
     internal::BecomeFollower(state, input.term, member{}, out);
     return false;
@@ -259,16 +266,17 @@
   return true;
 }
 
-// Whether the leader has to stop claiming to be one.
+// Whether the leader must become a follower.
 bool MustStepDown(const raft_state& state, time_point now) {
   const milliseconds timeout = state.options.election_timeout;
-  // The successor never took over: its message was lost or it crashed. This
-  // leader can't serve in its term any more, and its heartbeats would keep the
-  // others from an election for good.
-  if (state.is_lease_given_up && now - state.handed_over_at > timeout) {
+  // The chosen successor did not take over: the message to it was lost or it
+  // crashed. This leader can't serve in its term any more, and its heartbeats
+  // would prevent an election forever.
+  if (state.is_lease_released && now - state.transfer_started_at > timeout) {
     return true;
   }
-  // Without a quorum for a whole election timeout there may be another leader.
+  // Without contact to a quorum for a whole election timeout there may be
+  // another leader.
   return now - state.elected_at > timeout &&
          now - LeaseStart(state, now) > timeout;
 }
@@ -281,7 +289,7 @@
   state.role = raft_role::kLeader;
   state.leader = state.self;
   state.followers.clear();
-  state.is_lease_given_up = false;
+  state.is_lease_released = false;
   state.elected_at = now;
   RefreshFollowers(state);
   state.term_start_index = LastIndex(state.log) + 1;
@@ -295,7 +303,7 @@
     return;
   }
   AdmitLearners(state, now, out);
-  DropSpare(state, now, out);
+  RemoveUnneededMembers(state, now, out);
   for (auto& [to, progress] : state.followers) {
     if (progress.is_in_flight &&
         now - progress.sent_at > state.options.reply_timeout) {
@@ -310,7 +318,7 @@
 
 void ReceiveAppendReply(raft_state& state, time_point now, const message& input,
                         raft_output& out) {
-  if (!NoteReply(state, input, out)) return;
+  if (!RecordReply(state, input, out)) return;
   follower_progress& progress = state.followers[input.from];
   if (!input.granted) {
     progress.next =
@@ -326,7 +334,7 @@
 
 void ReceiveSnapshotReply(raft_state& state, time_point now,
                           const message& input, raft_output& out) {
-  if (!NoteReply(state, input, out)) return;
+  if (!RecordReply(state, input, out)) return;
   follower_progress& progress = state.followers[input.from];
   if (input.granted) {
     progress.match = std::max(progress.match, input.index);
@@ -347,7 +355,7 @@
   if (IsVoter(members, input.from) || IsLearner(members, input.from)) return;
   if (state.leaving.count(input.from.node) != 0) return;
   const bool is_wanted =
-      HasOtherIdentity(members, input.from) || TakesLearners(state, members);
+      HasOtherIdentity(members, input.from) || AcceptsLearners(state, members);
   if (!is_wanted) return;
   AppendAsLeader(state, entry_kind::kMembers,
                  core::Encode(WithLearner(members, input.from)), out);
@@ -358,7 +366,7 @@
 std::optional<uint64_t> Propose(raft_state& state, time_point /*now*/,
                                 entry_kind kind, std::string data,
                                 raft_output& out) {
-  if (state.role != raft_role::kLeader || state.is_lease_given_up) {
+  if (state.role != raft_role::kLeader || state.is_lease_released) {
     return core::Fail(core::reason_code::kUnavailable, "not the leader");
   }
   return AppendAsLeader(state, kind, std::move(data), out);
@@ -367,11 +375,11 @@
 void SendPending(raft_state& state, time_point now, raft_output& out) {
   if (state.role != raft_role::kLeader) return;
   for (auto& [to, progress] : state.followers) {
-    // A commit alone is no news: it goes with the next entry or heartbeat.
-    // Sent at once, it kept the follower's one message in flight, and the next
-    // entry had to wait for its answer.
-    const bool has_news = progress.next <= LastIndex(state.log);
-    if (has_news && !progress.is_in_flight) {
+    // An advanced commit index alone is sent with the next entry or heartbeat.
+    // If it were sent at once, the next entry would have to wait for the reply,
+    // since only one message per follower is in flight.
+    const bool has_entries = progress.next <= LastIndex(state.log);
+    if (has_entries && !progress.is_in_flight) {
       SendTo(state, now, to, progress, out);
     }
   }
@@ -392,8 +400,8 @@
         progress.match < LastIndex(state.log)) {
       continue;
     }
-    state.is_lease_given_up = true;
-    state.handed_over_at = now;
+    state.is_lease_released = true;
+    state.transfer_started_at = now;
     out.messages.push_back(MakeMessage(state, message_kind::kCampaignNow, who));
     return true;
   }
--- a/packages/consensus/raft_log.cc
+++ b/packages/consensus/raft_log.cc
@@ -39,12 +39,12 @@
   return result;
 }
 
-void LeaveOnDisk(raft_log& log, uint64_t index) {
+void EvictData(raft_log& log, uint64_t index) {
   if (index <= log.base_index || index > LastIndex(log)) return;
   log_entry& entry = log.entries.at(index - log.base_index - 1);
   if (entry.kind != entry_kind::kCommand || entry.data.empty()) return;
   entry.bytes_on_disk = entry.data.size();
-  // An assignment would keep the memory.
+  // An assignment would not release the memory.
   std::string().swap(entry.data);
 }
 
@@ -103,9 +103,9 @@
        ++entry) {
     if (entry->index <= log.snap.index) break;
     if (entry->index > index || entry->kind != entry_kind::kMembers) continue;
-    // The entry was written by a leader from this very struct; an undecodable
-    // one can only be memory damage, and the snapshot's members are the last
-    // that are known to be right.
+    // Leaders write this entry from a group_members struct, so a decoding error
+    // can only be memory damage. The snapshot's members are the last valid
+    // ones.
     return core::Decode<group_members>(entry->data).value_or(log.snap.members);
   }
   return log.snap.members;
--- a/packages/consensus/storage.h
+++ b/packages/consensus/storage.h
@@ -12,55 +12,57 @@
 
 namespace hickorywood::consensus {
 
-// What a data folder holds.
+// Contents of a data folder.
 struct stored_state {
   std::string storage_id;
   hard_state hard;
   raft_log log;
-  bool is_new = false;        // the folder was empty: a new member
-  bool was_tail_cut = false;  // a write that a crash interrupted was dropped
-  // Last index that was replayed; empty: nothing was, the snapshot included.
+  bool is_new = false;  // the folder was empty: this is a new member
+  bool was_tail_cut =
+      false;  // an incomplete write at the end of the log was removed
+  // Last index that was replayed; empty if not even the snapshot was replayed.
   std::optional<uint64_t> replayed;
 };
 
-// Takes what a folder holds while it is read.
+// Receives the contents of a folder while it is loaded.
 struct log_replay {
   std::function<void(const snapshot&)> on_snapshot;
-  // An entry after the snapshot that is known as committed, in order.
+  // Called in log order for each entry after the snapshot that is known to be
+  // committed.
   std::function<void(const log_entry&)> on_committed;
 };
 
-// One durable step of a replica.
+// A set of changes that becomes durable together.
 struct storage_write {
-  uint64_t truncate_from = 0;  // 0: nothing
+  uint64_t truncate_from = 0;  // 0: no truncation
   std::vector<log_entry> entries;
   hard_state hard;
 };
 
-// Durable storage of one replica. A failed call leaves the folder unusable for
-// this process: what is on disk is not known then, so the process must end and
-// load it again.
+// Durable storage of one replica. After a failed call the state on disk is
+// undefined and this process must not use the folder any more: it must exit and
+// load the folder again.
 class log_storage {
  public:
   virtual ~log_storage() = default;
 
-  // Called before Load(), which then hands the snapshot and the committed
-  // entries to `replay` and leaves the data of those on disk: a restart that
-  // has the whole log in memory first needs more of it than the days before.
+  // Must be called before Load(). Load() then passes the snapshot and the
+  // committed entries to `replay` and doesn't keep their data in memory:
+  // loading the whole log at once needed more memory than normal operation.
   virtual void SetReplay(log_replay replay) = 0;
-  // Empty with kCorrupt when the folder's content is damaged, kIo when it can't
+  // Returns nothing, with kCorrupt if the folder is damaged or kIo if it can't
   // be read.
   virtual std::optional<stored_state> Load() = 0;
-  // True once all of `write` is on disk.
+  // Returns true once `write` is durable.
   virtual bool Write(const storage_write& write) = 0;
-  // True once the snapshot of this replica's own log is on disk; what it covers
-  // may be given up. The entries after it stay as they are.
+  // Stores a snapshot of this replica's own log and may delete the entries that
+  // it covers; later entries stay. Returns true once it is durable.
   virtual bool WriteCompaction(const raft_log& log) = 0;
-  // The data of an entry that was written after the latest snapshot. Empty with
-  // the reason when it can't be read.
+  // Reads the data of an entry that was written after the latest snapshot.
+  // Returns nothing, with the reason, if it can't be read.
   virtual std::optional<std::string> ReadData(uint64_t index) = 0;
-  // True once the snapshot is on disk with the entries after it and `hard`;
-  // what was before is gone.
+  // Replaces the stored state by the snapshot, the entries after it and `hard`.
+  // Returns true once they are durable.
   virtual bool WriteSnapshot(const raft_log& log, const hard_state& hard) = 0;
 };
 
--- a/packages/consensus/types.h
+++ b/packages/consensus/types.h
@@ -1,7 +1,7 @@
 #ifndef HICKORYWOOD_CONSENSUS_TYPES_H_
 #define HICKORYWOOD_CONSENSUS_TYPES_H_
 
-// The plain data of the consensus protocol: log entries, members, messages.
+// Data types of the consensus protocol: log entries, members, messages.
 
 #include <cstdint>
 #include <string>
@@ -11,9 +11,9 @@
 
 namespace hickorywood::consensus {
 
-// A replica: an instance together with the random id of its data folder. An
-// instance that lost its disk is a different member, so that it can't vote with
-// the promises of the disk that is gone.
+// A replica is identified by its instance and the random id of its data folder.
+// An instance that lost its disk is a different member: it must not vote while
+// the votes and promises recorded on the old disk are missing.
 struct member {
   std::string node;
   std::string storage;
@@ -33,7 +33,7 @@
 
 struct group_members {
   std::vector<member> voters;
-  std::vector<member> learners;  // receive the log, don't vote
+  std::vector<member> learners;  // receive the log but don't vote
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(group_members, voters, learners)
 
@@ -44,20 +44,19 @@
   uint64_t term = 0;
   entry_kind kind = entry_kind::kCommand;
   std::string data;  // a command of the state machine, or group_members as JSON
-  // Size of `data` while it is only on disk, see LeaveOnDisk(); otherwise 0. Of
-  // this process only: neither sent nor stored.
+  // Size of `data` while it is only on disk (see EvictData()), otherwise 0.
+  // Local to this process: neither sent nor stored.
   uint64_t bytes_on_disk = 0;
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(log_entry, index, term, kind,
                                                 data)
 
-// What a member must never forget: kept on disk before any message that depends
-// on it.
+// State that must be durable before any message that depends on it is sent.
 struct hard_state {
   uint64_t term = 0;
   member voted_for;
-  // Entries known as committed when this was written. Only a hint: more may be
-  // committed, and losing it costs nothing but time after a restart.
+  // Commit index at the time of this write. More entries may be committed; an
+  // old value only makes a restart slower.
   uint64_t commit = 0;
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(hard_state, term, voted_for,
@@ -68,7 +67,7 @@
   uint64_t index = 0;
   uint64_t term = 0;
   group_members members;
-  std::string data;  // the state machine's own encoding
+  std::string data;  // in the encoding of the state machine
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(snapshot, group, index, term,
                                                 members, data)
@@ -92,17 +91,19 @@
   member from;
   member to;
   uint64_t term = 0;
-  uint64_t index =
-      0;  // append: entry before `entries`; replies: last matching entry
+  // Append: index of the entry before `entries`; replies: last matching entry.
+  uint64_t index = 0;
   uint64_t log_term = 0;  // term of the entry at `index`
   uint64_t commit = 0;
   std::vector<log_entry> entries;
-  bool granted = false;  // replies: vote granted, append accepted
-  bool is_transfer =
-      false;  // vote: the leader itself gave way, so promises to it don't count
-  int64_t sent_ns =
-      0;  // leader's clock at sending; echoed, it dates the confirmation
-  snapshot part;  // snapshot: `data` holds the piece at `offset`
+  bool granted = false;  // replies: vote granted or append accepted
+  // Vote: the leader transfers its leadership, so promises to it don't block
+  // the vote.
+  bool is_transfer = false;
+  // Leader's clock at sending; the reply repeats it and extends the lease from
+  // that time.
+  int64_t sent_ns = 0;
+  snapshot part;  // snapshot: `data` is the piece at `offset`
   uint64_t offset = 0;
   bool is_last = false;
 };
--- a/tests/unit/consensus/file_storage_test.cc
+++ b/tests/unit/consensus/file_storage_test.cc
@@ -201,7 +201,7 @@
   file_storage storage(folder_);
   auto state = storage.Load();
   ASSERT_TRUE(state);
-  LeaveOnDisk(state->log, 1);
+  EvictData(state->log, 1);
   snapshot snap;
   snap.index = 2;
   snap.term = 1;
@@ -425,7 +425,7 @@
   for (uint64_t index = 1; index <= 4; ++index) {
     log.entries.push_back(
         {index, 1, entry_kind::kCommand, std::string(100, 'x')});
-    LeaveOnDisk(log, index);
+    EvictData(log, index);
   }
   EXPECT_LT(EntryAt(log, 1).data.capacity(), 100U);
   EXPECT_EQ(EntriesFrom(log, 1, 250).size(), 2U);
--- a/tests/unit/consensus/group_simulation.cc
+++ b/tests/unit/consensus/group_simulation.cc
@@ -203,10 +203,10 @@
   for (message& output : out.messages) {
     if (network_.size() < kMostMessages) network_.push_back(std::move(output));
   }
-  if (item.state.handed_out >=
+  if (item.state.delivered_index >=
       item.state.log.snap.index + kEntriesPerSnapshot) {
-    Compact(item.state, item.state.handed_out,
-            "state as of " + std::to_string(item.state.handed_out));
+    Compact(item.state, item.state.delivered_index,
+            "state as of " + std::to_string(item.state.delivered_index));
     CompactTo(item.disk_log, item.state.log.snap, 0);
   }
   Check();
