--- a/packages/membership/endpoint_table.cc
+++ b/packages/membership/endpoint_table.cc
@@ -8,14 +8,14 @@
 namespace hickorywood::membership {
 namespace {
 
-// Load moves all the time; telling each move to every instance would cost more
-// than it is worth.
-constexpr core::milliseconds kLoadTellPeriod{200};
-constexpr size_t kLongestText = 128;
-constexpr int64_t kLargestCount = 1000000;
+// The load changes constantly. Sending every change to all instances would cost
+// more than the precision is worth.
+constexpr core::milliseconds kLoadPublishInterval{200};
+constexpr size_t kMaxTextBytes = 128;
+constexpr int64_t kMaxCount = 1000000;
 
 bool IsPlainText(const std::string& text) {
-  return !text.empty() && text.size() <= kLongestText &&
+  return !text.empty() && text.size() <= kMaxTextBytes &&
          std::all_of(text.begin(), text.end(),
                      [](unsigned char c) { return std::isgraph(c) != 0; });
 }
@@ -38,24 +38,24 @@
   return left.running != right.running || left.queued != right.queued;
 }
 
-// Whether the others should hear of the refreshed record: something changed, or
-// the lease that they know of is half gone.
-bool IsWorthTelling(const endpoint_record& record, const announcement& before,
-                    core::time_point now) {
+// Whether the updated record must be sent to the other instances: something
+// changed, or less than half of the published lease remains.
+bool NeedsPublishing(const endpoint_record& record, const announcement& before,
+                     core::time_point now) {
   if (DiffersMaterially(record.latest, before)) return true;
   if (DiffersInLoad(record.latest, before) &&
-      now - record.told_at >= kLoadTellPeriod) {
+      now - record.published_at >= kLoadPublishInterval) {
     return true;
   }
   const core::milliseconds lease(record.latest.lease_ms);
-  return record.told_expiry - now < lease / 2;
+  return record.published_expiry - now < lease / 2;
 }
 
-void MarkTold(endpoint_table& table, endpoint_record& record,
-              core::time_point now, bool is_material) {
+void MarkChanged(endpoint_table& table, endpoint_record& record,
+                 core::time_point now, bool is_material) {
   record.table_version = ++table.version;
-  record.told_expiry = record.expires_at;
-  record.told_at = now;
+  record.published_expiry = record.expires_at;
+  record.published_at = now;
   if (is_material) record.material_version = table.version;
 }
 
@@ -74,28 +74,29 @@
   if (input.address.find(':') == std::string::npos) {
     return Fail(reason_code::kInvalid, "the address must be IP:PORT");
   }
-  if (input.lease_ms < kShortestLeaseMs || input.lease_ms > kLongestLeaseMs) {
+  if (input.lease_ms < kMinLeaseMs || input.lease_ms > kMaxLeaseMs) {
     return Fail(reason_code::kInvalid,
                 "lease_ms must lie between 200 and 30000");
   }
   const auto is_count = [](int64_t value) {
-    return value >= 0 && value <= kLargestCount;
+    return value >= 0 && value <= kMaxCount;
   };
   if (!is_count(input.running) || !is_count(input.queued) ||
       input.version < 0 || input.boot < 0) {
     return Fail(reason_code::kInvalid,
-                "running, queued, version and boot must be sensible counts");
+                "running and queued must lie between 0 and 1000000, version "
+                "and boot must not be negative");
   }
   return input;
 }
 
 merge_result Merge(endpoint_table& table, const announcement& input,
                    core::milliseconds lease_left, core::time_point now,
-                   const std::string& told_by) {
+                   const std::string& sender) {
   const auto found = table.records.find(input.id);
   if (found == table.records.end()) {
     if (lease_left.count() <= 0) return merge_result::kUnchanged;
-    if (table.records.size() >= kMostEndpoints) {
+    if (table.records.size() >= kMaxEndpoints) {
       core::SetLastReason(core::reason_code::kUnavailable,
                           "the endpoint table is full");
       return merge_result::kRefused;
@@ -104,8 +105,8 @@
     record.latest = input;
     record.received_at = now;
     record.expires_at = now + lease_left;
-    record.learned_from = told_by;
-    MarkTold(table, record, now, true);
+    record.learned_from = sender;
+    MarkChanged(table, record, now, true);
     table.records[input.id] = record;
     return merge_result::kChanged;
   }
@@ -114,7 +115,7 @@
   if (is_alive && input.address != record.latest.address) {
     core::SetLastReason(
         core::reason_code::kConflict,
-        "'" + input.id + "' is alive at " + record.latest.address);
+        "'" + input.id + "' is in use at " + record.latest.address);
     return merge_result::kRefused;
   }
   if (!IsNewer(input, record.latest)) return merge_result::kUnchanged;
@@ -122,12 +123,12 @@
   record.latest = input;
   record.received_at = now;
   record.expires_at = now + lease_left;
-  record.learned_from = told_by;
+  record.learned_from = sender;
   const bool is_material =
       record.was_expired || DiffersMaterially(input, before);
   record.was_expired = false;
-  if (is_material || IsWorthTelling(record, before, now)) {
-    MarkTold(table, record, now, is_material);
+  if (is_material || NeedsPublishing(record, before, now)) {
+    MarkChanged(table, record, now, is_material);
   }
   return is_material ? merge_result::kChanged : merge_result::kRefreshed;
 }
@@ -141,7 +142,7 @@
       record.was_expired = true;
       if (!record.latest.is_leaving) expired.push_back(item->first);
     }
-    const bool is_old = record.expires_at + kTombstoneTime <= now;
+    const bool is_old = record.expires_at + kTombstoneRetention <= now;
     item = is_old ? table.records.erase(item) : std::next(item);
   }
   return expired;
--- a/packages/membership/exchange.cc
+++ b/packages/membership/exchange.cc
@@ -11,32 +11,33 @@
 using core::milliseconds;
 using core::time_point;
 
-// What changed after version `since`, oldest change first, and the version that
-// it leads to. A message that is full leads only up to its last record; the
-// rest follows in the next one. What `peer` itself told is left out: sent back,
-// each change crossed every link in both directions, without end under load.
+// Adds the records that changed after version `since`, oldest change first, and
+// the version after them. A message has at most kMaxRecordsPerMessage records;
+// the rest is sent in the next one. Records received from `peer` itself are
+// left out: when they were sent back, each change was transferred over every
+// link in both directions, endlessly under load.
 void AddRecordsSince(const endpoint_table& table, uint64_t since,
                      const std::string& peer,
                      const std::set<std::string>& known, time_point now,
                      exchange_message& message) {
-  std::vector<const endpoint_record*> news;
+  std::vector<const endpoint_record*> changed;
   for (const auto& item : table.records) {
     const endpoint_record& record = item.second;
     const bool is_echo = since > 0 && record.learned_from == peer;
-    const bool is_news =
+    const bool is_changed_record =
         record.table_version > since && known.count(item.first) == 0;
-    if (is_news && !is_echo) news.push_back(&record);
+    if (is_changed_record && !is_echo) changed.push_back(&record);
   }
-  std::sort(news.begin(), news.end(),
+  std::sort(changed.begin(), changed.end(),
             [](const endpoint_record* left, const endpoint_record* right) {
               return left->table_version < right->table_version;
             });
   message.up_to = table.version;
-  if (news.size() > kMostRecordsPerMessage) {
-    news.resize(kMostRecordsPerMessage);
-    message.up_to = news.back()->table_version;
+  if (changed.size() > kMaxRecordsPerMessage) {
+    changed.resize(kMaxRecordsPerMessage);
+    message.up_to = changed.back()->table_version;
   }
-  for (const endpoint_record* record : news) {
+  for (const endpoint_record* record : changed) {
     const int64_t left =
         std::chrono::duration_cast<milliseconds>(record->expires_at - now)
             .count();
@@ -50,25 +51,27 @@
   }
 }
 
-// A refresh of an endpoint that is not known here, or of another process of it,
-// is dropped: the whole record comes with the next full exchange.
+// Returns the announcement updated by a refresh. A refresh of an unknown
+// endpoint, or of another process of the endpoint, is ignored: the next full
+// exchange contains the complete record.
 std::optional<announcement> ApplyRefresh(const endpoint_table& table,
-                                         const told_refresh& told) {
-  const auto found = table.records.find(told.id);
-  if (found == table.records.end() || found->second.latest.boot != told.boot) {
+                                         const told_refresh& update) {
+  const auto found = table.records.find(update.id);
+  if (found == table.records.end() ||
+      found->second.latest.boot != update.boot) {
     return std::nullopt;
   }
   announcement next = found->second.latest;
-  next.seq = told.seq;
-  next.running = told.running;
-  next.queued = told.queued;
+  next.seq = update.seq;
+  next.running = update.running;
+  next.queued = update.queued;
   return next;
 }
 
-// The endpoints of which the sender of `message` has the same news as this
-// table, so that the reply need not repeat them.
-std::set<std::string> KnownToSender(const endpoint_table& table,
-                                    const exchange_message& message) {
+// Returns the endpoints for which the sender of `message` has the same state as
+// this table, so that the reply can omit them.
+std::set<std::string> RecordsOfSender(const endpoint_table& table,
+                                      const exchange_message& message) {
   std::set<std::string> known;
   const auto add = [&table, &known](const std::string& id, int64_t boot,
                                     uint64_t seq) {
@@ -77,22 +80,22 @@
     const announcement& latest = found->second.latest;
     if (latest.boot == boot && latest.seq == seq) known.insert(id);
   };
-  for (const told_record& told : message.records) {
-    add(told.latest.id, told.latest.boot, told.latest.seq);
+  for (const told_record& update : message.records) {
+    add(update.latest.id, update.latest.boot, update.latest.seq);
   }
-  for (const told_refresh& told : message.refreshes) {
-    add(told.id, told.boot, told.seq);
+  for (const told_refresh& update : message.refreshes) {
+    add(update.id, update.boot, update.seq);
   }
   return known;
 }
 
 void MergeOne(exchange_state& state, const announcement& input,
-              int64_t lease_left_ms, const std::string& told_by, time_point now,
+              int64_t lease_left_ms, const std::string& sender, time_point now,
               std::vector<std::string>& changed) {
   const std::optional<announcement> checked = CheckAnnouncement(input);
   if (!checked) return;
   const milliseconds left(std::min(lease_left_ms, checked->lease_ms));
-  if (Merge(state.table, *checked, left, now, told_by) ==
+  if (Merge(state.table, *checked, left, now, sender) ==
       merge_result::kChanged) {
     changed.push_back(checked->id);
   }
@@ -100,28 +103,29 @@
 
 void MergeRecords(exchange_state& state, const exchange_message& message,
                   time_point now, std::vector<std::string>& changed) {
-  for (const told_record& told : message.records) {
-    MergeOne(state, told.latest, told.lease_left_ms, message.from.id, now,
+  for (const told_record& update : message.records) {
+    MergeOne(state, update.latest, update.lease_left_ms, message.from.id, now,
              changed);
   }
-  for (const told_refresh& told : message.refreshes) {
-    const std::optional<announcement> next = ApplyRefresh(state.table, told);
+  for (const told_refresh& update : message.refreshes) {
+    const std::optional<announcement> next = ApplyRefresh(state.table, update);
     if (next) {
-      MergeOne(state, *next, told.lease_left_ms, message.from.id, now, changed);
+      MergeOne(state, *next, update.lease_left_ms, message.from.id, now,
+               changed);
     }
   }
 }
 
-void NoteInfo(peer_progress& progress, const instance_info& info,
-              time_point now) {
+void UpdatePeerInfo(peer_progress& progress, const instance_info& info,
+                    time_point now) {
   progress.info = info;
   progress.heard_at = now;
 }
 
-// Versions count within one process. After a restart of the other side the
-// count starts over.
+// Versions are only valid for one process: after a restart of the peer,
+// everything is sent again.
 uint64_t SinceVersion(const peer_progress& progress) {
-  return progress.told_boot == progress.info.boot ? progress.told_version : 0;
+  return progress.sent_boot == progress.info.boot ? progress.sent_version : 0;
 }
 
 }  // namespace
@@ -130,7 +134,7 @@
                                    const std::vector<std::string>& all_peers) {
   std::vector<std::string> picked;
   ++state.rounds;
-  while (picked.size() < std::min(kFanOut, all_peers.size())) {
+  while (picked.size() < std::min(kPeersPerRound, all_peers.size())) {
     if (state.round_order.empty()) {
       state.round_order = all_peers;
       std::shuffle(state.round_order.begin(), state.round_order.end(),
@@ -162,21 +166,21 @@
                                const exchange_message& request, time_point now,
                                std::vector<std::string>& changed) {
   peer_progress& progress = state.peers[request.from.id];
-  NoteInfo(progress, request.from, now);
+  UpdatePeerInfo(progress, request.from, now);
   MergeRecords(state, request, now, changed);
   progress.seen_version = request.up_to;
   progress.seen_boot = request.from.boot;
-  // What the other side has seen of this table it need not be told again.
-  const bool knows_us = request.seen_boot == self.boot;
-  if (knows_us && request.seen_version > 0) {
-    progress.told_version =
+  // Changes that the peer already has are not sent again.
+  const bool is_same_boot = request.seen_boot == self.boot;
+  if (is_same_boot && request.seen_version > 0) {
+    progress.sent_version =
         std::max(SinceVersion(progress), request.seen_version);
-    progress.told_boot = request.from.boot;
+    progress.sent_boot = request.from.boot;
   }
-  const std::set<std::string> known = KnownToSender(state.table, request);
+  const std::set<std::string> known = RecordsOfSender(state.table, request);
   exchange_message reply;
   reply.from = self;
-  AddRecordsSince(state.table, knows_us ? request.seen_version : 0,
+  AddRecordsSince(state.table, is_same_boot ? request.seen_version : 0,
                   request.from.id, known, now, reply);
   return reply;
 }
@@ -185,12 +189,12 @@
                uint64_t sent_up_to, time_point now,
                std::vector<std::string>& changed) {
   peer_progress& progress = state.peers[reply.from.id];
-  NoteInfo(progress, reply.from, now);
+  UpdatePeerInfo(progress, reply.from, now);
   MergeRecords(state, reply, now, changed);
   progress.seen_version = reply.up_to;
   progress.seen_boot = reply.from.boot;
-  progress.told_version = sent_up_to;
-  progress.told_boot = reply.from.boot;
+  progress.sent_version = sent_up_to;
+  progress.sent_boot = reply.from.boot;
 }
 
 }  // namespace hickorywood::membership
