--- a/packages/control/commands.h
+++ b/packages/control/commands.h
@@ -1,9 +1,9 @@
 #ifndef HICKORYWOOD_CONTROL_COMMANDS_H_
 #define HICKORYWOOD_CONTROL_COMMANDS_H_
 
-// The commands of the replicated state machine and their answers. A command is
-// the data of one log entry; each is idempotent by an id of its own, so that a
-// proposal whose answer was lost can be sent again.
+// The commands of the replicated state machine and their results. A command is
+// the data of one log entry. Each command has an id that makes it idempotent,
+// so that a proposal whose result was lost can be sent again.
 
 #include <cstdint>
 #include <optional>
@@ -28,22 +28,22 @@
   kRegisterInstance,
 };
 
-// One delivered batch of a step: the answer to one pull.
+// One delivered batch of a step: the response to one pull.
 struct batch_record {
   uint64_t cursor = 0;
   int64_t trainer_version = 0;
-  std::vector<int64_t> slots;        // which samples
-  std::vector<std::string> digests;  // of their bodies, same order
+  std::vector<int64_t> slots;        // slots of the samples
+  std::vector<std::string> digests;  // digests of the bodies, in the same order
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(batch_record, cursor,
                                                 trainer_version, slots, digests)
 
 struct command {
   command_kind kind = command_kind::kSubmitConfiguration;
-  int64_t now_ms =
-      0;  // wall time of the leader that proposed it; drives retention
-  std::string instance;  // who asks
-  std::string boot;      // id of that process
+  // Wall time of the leader that proposed the command; determines expiry.
+  int64_t now_ms = 0;
+  std::string instance;  // instance that sent the command
+  std::string boot;      // id of its process
 
   // kSubmitConfiguration; kExcludeSite and kIncludeSite use `scope`.
   std::string change_id;
@@ -54,12 +54,12 @@
 
   // kClaim, kFinishClaim
   std::string claim_key;
-  std::string nonce;  // of one attempt, so that a proposal sent again is known
-                      // as the same
+  // Id of one attempt, so that a repeated proposal is recognized.
+  std::string nonce;
   std::string request_digest;
-  bool is_not_run =
-      false;  // the request certainly did not run: the claim is given back
-  bool is_known = false;  // the outcome is known: an answer was received
+  // The request certainly did not run, so the claim is removed.
+  bool is_not_run = false;
+  bool is_known = false;  // the outcome is known, since a response was received
   int status = 0;
   std::string body;
   std::string content_type;
@@ -69,7 +69,7 @@
   std::string step;
   uint64_t epoch = 0;
   std::string spec_digest;
-  std::vector<std::string> holders;  // instances that hold the step's prompts
+  std::vector<std::string> holders;  // instances that store the step's prompts
   batch_record batch;
   int64_t version = 0;
 };
@@ -80,24 +80,25 @@
 
 enum class command_outcome {
   kAccepted,
-  kConflict,  // another one was first
+  kConflict,  // another change was accepted first
   kInvalid,
-  kExists,      // done before: the recorded result is returned
-  kInProgress,  // claimed by a process that may still be at it
-  kUnknown,  // claimed by a process that is gone: whether it ran is not known
-  kFull,     // a bound is reached; nothing was recorded
-  kStale,    // an epoch or version that was overtaken
+  kExists,      // already done: the recorded result is returned
+  kInProgress,  // claimed by a process that may still run the request
+  // Claimed by a terminated process: the outcome is unknown.
+  kUnknown,
+  kFull,   // a limit is reached; nothing was recorded
+  kStale,  // the epoch or version is not the current one
 };
 
 struct command_result {
   command_outcome outcome = command_outcome::kInvalid;
   std::string reason;
-  uint64_t revision = 0;  // configuration in force after the command
+  uint64_t revision = 0;  // configuration revision after the command
   uint64_t epoch = 0;
   int64_t version = 0;
-  std::string winner;       // change id that was first
-  std::string coordinator;  // instance that runs the step
-  int status = 0;           // recorded answer
+  std::string winner;       // id of the change that was accepted first
+  std::string coordinator;  // instance that coordinates the step
+  int status = 0;           // status of the recorded response
   std::string body;
   std::string content_type;
   batch_record batch;
@@ -107,7 +108,7 @@
                                                 winner, coordinator, status,
                                                 body, content_type, batch)
 
-// The word for `outcome` in answers: "accepted", "conflict", ...
+// Name of `outcome` in responses: "accepted", "conflict", ...
 const char* OutcomeWord(command_outcome outcome);
 
 }  // namespace hickorywood::control
--- a/packages/control/configuration_lease.cc
+++ b/packages/control/configuration_lease.cc
@@ -5,74 +5,79 @@
 namespace hickorywood::control {
 namespace {
 
-// Covers clocks of different speed and the rounding of durations to
+// The leader extends each lease by 1/kMarginDivisor of its duration. This
+// covers clocks of different speeds and the rounding of durations to
 // milliseconds.
 constexpr int kMarginDivisor = 10;
 
 }  // namespace
 
-void StartLeaseBook(lease_book& book, core::milliseconds duration,
-                    core::time_point now) {
-  book.duration = duration;
-  book.holders.clear();
-  book.complete_at = now + duration + duration / kMarginDivisor;
+void StartLeaseTable(lease_book& leases, core::milliseconds duration,
+                     core::time_point now) {
+  leases.duration = duration;
+  leases.holders.clear();
+  leases.complete_at = now + duration + duration / kMarginDivisor;
 }
 
-void RenewLease(lease_book& book, const std::string& instance,
+void RenewLease(lease_book& leases, const std::string& instance,
                 const std::string& site, uint64_t applied, uint64_t revision,
                 core::time_point now) {
-  lease_holder& holder = book.holders[instance];
+  lease_holder& holder = leases.holders[instance];
   holder.site = site;
   holder.applied = applied;
   holder.revision = revision;
-  holder.expires_at = now + book.duration + book.duration / kMarginDivisor;
-  holder.may_serve_dark = false;
+  holder.expires_at = now + leases.duration + leases.duration / kMarginDivisor;
+  holder.may_serve_unreachable = false;
 }
 
-void NoteDarkSites(lease_book& book,
+void NoteDarkSites(lease_book& leases,
                    const std::map<std::string, size_t>& site_sizes,
                    core::time_point now) {
-  const std::vector<std::string> dark = DarkSites(book, site_sizes, 0, now);
-  for (auto& item : book.holders) {
+  const std::vector<std::string> unreachable =
+      DarkSites(leases, site_sizes, 0, now);
+  for (auto& item : leases.holders) {
     lease_holder& holder = item.second;
-    const bool is_dark =
-        std::find(dark.begin(), dark.end(), holder.site) != dark.end();
-    if (is_dark && holder.expires_at <= now) holder.may_serve_dark = true;
-    if (site_sizes.count(holder.site) == 0) holder.may_serve_dark = false;
+    const bool is_unreachable =
+        std::find(unreachable.begin(), unreachable.end(), holder.site) !=
+        unreachable.end();
+    if (is_unreachable && holder.expires_at <= now)
+      holder.may_serve_unreachable = true;
+    if (site_sizes.count(holder.site) == 0)
+      holder.may_serve_unreachable = false;
   }
 }
 
-void ReleaseLease(lease_book& book, const std::string& instance) {
-  book.holders.erase(instance);
+void ReleaseLease(lease_book& leases, const std::string& instance) {
+  leases.holders.erase(instance);
 }
 
-bool IsInForceEverywhere(const lease_book& book, uint64_t index,
+bool IsInForceEverywhere(const lease_book& leases, uint64_t index,
                          core::time_point now) {
-  if (now < book.complete_at) return false;
-  return std::all_of(book.holders.begin(), book.holders.end(),
+  if (now < leases.complete_at) return false;
+  return std::all_of(leases.holders.begin(), leases.holders.end(),
                      [index, now](const auto& item) {
                        const lease_holder& holder = item.second;
-                       const bool is_silent =
-                           holder.expires_at <= now && !holder.may_serve_dark;
-                       return holder.applied >= index || is_silent;
+                       const bool is_expired = holder.expires_at <= now &&
+                                               !holder.may_serve_unreachable;
+                       return holder.applied >= index || is_expired;
                      });
 }
 
 std::vector<std::string> DarkSites(
-    const lease_book& book, const std::map<std::string, size_t>& site_sizes,
+    const lease_book& leases, const std::map<std::string, size_t>& site_sizes,
     uint64_t index, core::time_point now) {
-  std::map<std::string, size_t> in_force;
-  for (const auto& item : book.holders) {
+  std::map<std::string, size_t> instances_in_force;
+  for (const auto& item : leases.holders) {
     const lease_holder& holder = item.second;
     if (holder.expires_at > now && holder.applied >= index) {
-      ++in_force[holder.site];
+      ++instances_in_force[holder.site];
     }
   }
-  std::vector<std::string> dark;
+  std::vector<std::string> unreachable;
   for (const auto& [site, instances] : site_sizes) {
-    if (in_force[site] * 2 <= instances) dark.push_back(site);
+    if (instances_in_force[site] * 2 <= instances) unreachable.push_back(site);
   }
-  return dark;
+  return unreachable;
 }
 
 }  // namespace hickorywood::control
--- a/packages/control/configuration_lease.h
+++ b/packages/control/configuration_lease.h
@@ -1,11 +1,12 @@
 #ifndef HICKORYWOOD_CONTROL_CONFIGURATION_LEASE_H_
 #define HICKORYWOOD_CONTROL_CONFIGURATION_LEASE_H_
 
-// Configuration leases. Every instance holds one from the leader while it
-// serves; a change counts as accepted once each live holder has it in force. A
-// holder that goes silent can't serve an old revision for longer than its
-// lease: it stops admitting work by its own clock, which it starts when it
-// *sends* the renewal, before the leader starts its own.
+// Configuration leases. Every serving instance has a lease from the leader. A
+// change is accepted once it is in force at every instance with a valid lease.
+// An instance that loses contact can't serve an old revision for longer than
+// its lease: it stops accepting work when the lease expires by its own clock,
+// and it measures the lease from when it *sent* the renewal, which is earlier
+// than the start that the leader uses.
 
 #include <chrono>
 #include <cstdint>
@@ -19,53 +20,55 @@
 
 struct lease_holder {
   std::string site;
-  uint64_t applied = 0;  // log index in force there
+  uint64_t applied = 0;  // log index in force at this instance
   uint64_t revision = 0;
   core::time_point expires_at{};
-  // Its lease ran out while its site was dark: it may go on serving what it
-  // has until it hears that the site is back.
-  bool may_serve_dark = false;
+  // The lease expired while the site was unreachable: the instance may continue
+  // to serve its revision until it has contact again.
+  bool may_serve_unreachable = false;
 };
 
-// The leader's book of leases. It is not replicated: a new leader starts an
-// empty one and waits out the longest lease that the one before can have
-// granted (`complete_at`).
+// The leader's table of leases. It is not replicated: a new leader starts with
+// an empty table and waits until all leases granted by earlier leaders must
+// have expired (`complete_at`).
 struct lease_book {
   core::milliseconds duration{0};
   core::time_point complete_at{};
-  std::map<std::string, lease_holder> holders;  // by instance
+  std::map<std::string, lease_holder> holders;  // by instance id
 };
 
-void StartLeaseBook(lease_book& book, core::milliseconds duration,
-                    core::time_point now);
+void StartLeaseTable(lease_book& leases, core::milliseconds duration,
+                     core::time_point now);
 
 // Grants or renews the lease of `instance`.
-void RenewLease(lease_book& book, const std::string& instance,
+void RenewLease(lease_book& leases, const std::string& instance,
                 const std::string& site, uint64_t applied, uint64_t revision,
                 core::time_point now);
 
-// Marks the holders without a lease that may be serving since their whole site
-// is dark. To be called often; a renewal takes the mark off.
-void NoteDarkSites(lease_book& book,
+// Marks instances whose lease has expired while their site is unreachable,
+// since they may still be serving. Call it at short intervals; a renewal clears
+// the mark.
+void NoteDarkSites(lease_book& leases,
                    const std::map<std::string, size_t>& site_sizes,
                    core::time_point now);
 
-// A holder that stops on purpose gives its lease back.
-void ReleaseLease(lease_book& book, const std::string& instance);
+// Releases the lease of an instance that shuts down.
+void ReleaseLease(lease_book& leases, const std::string& instance);
 
-// Whether log entry `index` is in force at every instance that can be serving
+// Whether log entry `index` is in force at every instance that may be serving
 // at `now`.
-bool IsInForceEverywhere(const lease_book& book, uint64_t index,
+bool IsInForceEverywhere(const lease_book& leases, uint64_t index,
                          core::time_point now);
 
-// The sites where no majority of the instances holds a live lease and has log
-// entry `index` in force; with index 0 the lease alone counts. `site_sizes`
-// counts the instances of each site. A majority, because a site that is cut off
-// goes on serving its last revision once a majority of it is seen to be without
-// a lease (membership_service): two majorities share an instance, so a change
-// can't be accepted while such a site serves what is older.
+// Returns the sites where no majority of the instances has a valid lease and
+// has log entry `index` in force. With index 0 only the lease counts.
+// `site_sizes` is the number of instances of each site. The majority matters
+// because a disconnected site continues to serve its last revision once a
+// majority of its instances has no lease (see membership_service): two
+// majorities share an instance, so no change is accepted while such a site
+// serves an older revision.
 std::vector<std::string> DarkSites(
-    const lease_book& book, const std::map<std::string, size_t>& site_sizes,
+    const lease_book& leases, const std::map<std::string, size_t>& site_sizes,
     uint64_t index, core::time_point now);
 
 }  // namespace hickorywood::control
--- a/packages/control/orders.h
+++ b/packages/control/orders.h
@@ -1,10 +1,10 @@
 #ifndef HICKORYWOOD_CONTROL_ORDERS_H_
 #define HICKORYWOOD_CONTROL_ORDERS_H_
 
-// Which engine is ordered to load which weight version, and when. The plan
-// follows what the engines report, never what was sent: an order that got lost
-// or failed partway shows as an engine that still reports the old version, and
-// is given again.
+// Plans which engine is ordered to load which weight version, and when. The
+// plan depends on what the engines report, not on the orders that were sent:
+// after a lost or failed order the engine still reports the old version, and
+// the order is sent again.
 
 #include <chrono>
 #include <cstdint>
@@ -16,7 +16,7 @@
 
 namespace hickorywood::control {
 
-// An engine as the endpoint table shows it.
+// State of an engine in the endpoint table.
 struct engine_report {
   std::string id;
   std::string address;
@@ -25,10 +25,10 @@
   bool is_swapping = false;
 };
 
-// What the planner needs of a pool.
+// Settings of a pool that the planner needs.
 struct swap_target {
   int64_t version = 0;
-  double floor = 0.5;  // share of the engines that keeps serving
+  double floor = 0.5;  // minimum share of the engines that keep serving
 };
 
 struct planned_order {
@@ -39,7 +39,7 @@
   int64_t version = 0;
 };
 
-// An order that was sent and not yet seen as done.
+// An order that was sent and has not completed yet.
 struct open_order {
   std::string pool;
   int64_t version = 0;
@@ -47,11 +47,11 @@
 };
 
 struct order_book {
-  uint64_t term = 0;      // of the leader; part of each fencing number
-  uint64_t sequence = 0;  // within the term
-  std::map<std::string, open_order>
-      open;           // by engine: one order in flight each
-  double tokens = 0;  // of the rate limit
+  uint64_t term = 0;      // term of the leader; part of each fencing number
+  uint64_t sequence = 0;  // last sequence number used in this term
+  // By engine id; each engine has at most one order in flight.
+  std::map<std::string, open_order> open;
+  double tokens = 0;  // tokens of the rate limit
   core::time_point refilled_at{};
 };
 
@@ -60,24 +60,25 @@
   core::milliseconds timeout{30000};
 };
 
-// The fencing number of order `sequence` in `term`: later terms are above all
-// of earlier ones.
+// Returns the fencing number of order `sequence` in `term`. The numbers of a
+// later term are higher than all of an earlier one.
 uint64_t FencingNumber(uint64_t term, uint64_t sequence);
 
-// A new leader starts with an empty book: what its predecessor sent shows in
-// the reports.
-void StartOrderBook(order_book& book, uint64_t term, core::time_point now);
+// Starts the state of a new leader without open orders: the effect of the
+// orders of earlier leaders shows in the reports.
+void StartOrderBook(order_book& tracker, uint64_t term, core::time_point now);
 
-// The orders to send now; they count as open from here on. Engines that load at
-// the same time never exceed what the pool's floor leaves free.
+// Returns the orders to send now and records them as open. The number of
+// engines that load at the same time never exceeds what the pool's floor
+// allows.
 std::vector<planned_order> PlanOrders(
-    order_book& book, const std::vector<engine_report>& engines,
+    order_book& tracker, const std::vector<engine_report>& engines,
     const std::map<std::string, swap_target>& targets,
     const order_limits& limits, core::time_point now);
 
-// The engine refused the order or could not be reached: it may be tried again
-// at once.
-void NoteOrderFailed(order_book& book, const std::string& engine);
+// Records that the engine rejected the order or was unreachable. The order may
+// be sent again at once.
+void NoteOrderFailed(order_book& tracker, const std::string& engine);
 
 }  // namespace hickorywood::control
 
--- a/packages/control/replica.cc
+++ b/packages/control/replica.cc
@@ -49,11 +49,11 @@
 
 void replica::Tick() {
   group_.Tick();
-  NoteDarkSites(leases_, SitesThatCount(), clock_.Now());
-  if (IsServing()) ForgetLostInstances();
-  RetryHeldSubmissions();
+  NoteDarkSites(leases_, IncludedSites(), clock_.Now());
+  if (IsServing()) RemoveTerminatedInstances();
+  RetryDelayedSubmissions();
   AnswerSubmissions();
-  AnswerParkedViews();
+  AnswerPendingViews();
 }
 
 void replica::Apply(const consensus::log_entry& entry) {
@@ -67,29 +67,29 @@
 
 void replica::OnApplied() {
   AnswerSubmissions();
-  AnswerParkedViews();
+  AnswerPendingViews();
 }
 
 std::string replica::EncodeState() const { return core::Encode(state_); }
 
 void replica::OnLeadership(bool is_leader) {
   if (is_leader) {
-    StartLeaseBook(leases_, settings_.configuration_lease, clock_.Now());
+    StartLeaseTable(leases_, settings_.configuration_lease, clock_.Now());
     return;
   }
-  FailWaiting();
+  FailPendingSubmissions();
 }
 
-void replica::FailWaiting() {
-  std::vector<waiting_submission> submissions = std::move(submissions_);
-  std::vector<held_submission> early = std::move(early_submissions_);
+void replica::FailPendingSubmissions() {
+  std::vector<pending_submission> submissions = std::move(submissions_);
+  std::vector<delayed_submission> delayed = std::move(delayed_submissions_);
   submissions_.clear();
-  early_submissions_.clear();
+  delayed_submissions_.clear();
   proposal_answer lost = NotLeader();
-  for (held_submission& item : early) item.done(lost);
+  for (delayed_submission& item : delayed) item.done(lost);
   lost.status = proposal_status::kLost;
-  for (waiting_submission& item : submissions) item.done(lost);
-  AnswerParkedViews();
+  for (pending_submission& item : submissions) item.done(lost);
+  AnswerPendingViews();
 }
 
 proposal_answer replica::NotLeader() const {
@@ -155,7 +155,7 @@
   status.excluded_sites.assign(state_.excluded_sites.begin(),
                                state_.excluded_sites.end());
   if (IsServing()) {
-    status.dark_sites = DarkSites(leases_, SitesThatCount(), 0, now);
+    status.dark_sites = DarkSites(leases_, IncludedSites(), 0, now);
     for (const auto& [instance, holder] : leases_.holders) {
       if (holder.expires_at > now) status.revisions[instance] = holder.revision;
     }
--- a/packages/control/replica.h
+++ b/packages/control/replica.h
@@ -1,10 +1,10 @@
 #ifndef HICKORYWOOD_CONTROL_REPLICA_H_
 #define HICKORYWOOD_CONTROL_REPLICA_H_
 
-// One voter of the control group: the state machine of configuration, claims
-// and steps over a replicated group. All calls are on the control thread. Work
-// is gathered while a burst of tasks runs; Flush() then makes it durable with
-// one sync, sends the messages and answers the callers.
+// One voter of the control group: the replicated state machine for
+// configuration, claims and steps. All calls are on the control thread. Work is
+// collected while a batch of tasks runs; Flush() then makes it durable with one
+// sync, sends the messages and calls the callbacks.
 
 #include <deque>
 #include <functional>
@@ -25,11 +25,12 @@
 
 enum class proposal_status {
   kDone,
-  kNotLeader,  // nothing was proposed; `leader` may tell where to go
-  kLost,  // leadership ended meanwhile: whether it was committed is not known
-          // here
-  kHeld,  // a site can't be reached; nothing was proposed
-  kRefused,  // findings; nothing was proposed
+  kNotLeader,  // nothing was proposed; `leader` is set if it is known
+  // Leadership ended first: this replica can't tell whether the command is
+  // committed.
+  kLost,
+  kHeld,     // a site is unreachable; nothing was proposed
+  kRefused,  // the change has findings; nothing was proposed
 };
 NLOHMANN_JSON_SERIALIZE_ENUM(proposal_status,
                              {{proposal_status::kDone, "done"},
@@ -41,7 +42,7 @@
 struct proposal_answer {
   proposal_status status = proposal_status::kNotLeader;
   std::string leader;
-  std::string findings;  // text of all findings, or the dark sites
+  std::string findings;  // all findings as text, or the unreachable sites
   command_result result;
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(proposal_answer, status, leader,
@@ -54,11 +55,11 @@
   consensus::raft_options raft;
   int64_t snapshot_every = 10000;  // entries
   core::milliseconds configuration_lease{1500};
-  std::map<std::string, size_t> site_sizes;  // instances of each site
+  std::map<std::string, size_t> site_sizes;  // number of instances of each site
   uint64_t random_seed = 0;
 };
 
-// What the status page shows of a replica.
+// Status of a replica for the status page.
 struct replica_status {
   std::string group;
   std::string node;
@@ -74,8 +75,8 @@
   std::vector<std::string> learners;
   std::vector<std::string> excluded_sites;
   std::vector<std::string> dark_sites;
-  std::map<std::string, uint64_t>
-      revisions;  // in force, by instance that holds a lease
+  // Revision in force, by id of the instances that have a lease.
+  std::map<std::string, uint64_t> revisions;
   size_t claims = 0;
   size_t steps = 0;
 };
@@ -91,23 +92,23 @@
   using view_callback = std::function<void(view_reply)>;
 
   // `storage` and `sender` must outlive the replica. `on_storage_failure` is
-  // called when a write fails; the process must end then.
+  // called when a write fails; the process must then exit.
   replica(const core::runtime_clock& clock, replica_settings settings,
           consensus::log_storage& storage, message_sender& sender,
           std::function<void()> on_storage_failure);
 
-  // Loads the data folder. False with the reason when it can't be used.
+  // Loads the data folder. Returns false, with the reason, if it can't be used.
   bool Load() { return group_.Load(); }
 
-  // Makes this replica the first voter of a new group. False with the reason
-  // when it is in one.
+  // Makes this replica the first voter of a new group. Returns false, with the
+  // reason, if it is already in a group.
   bool Bootstrap(const std::string& group) { return group_.Bootstrap(group); }
 
   void Tick();
   void Flush() { group_.Flush(); }
 
-  // Takes a message; `reply` gets the answers to its sender once they may be
-  // sent.
+  // Handles a message. `reply` is called with the replies to its sender once
+  // they may be sent.
   void Receive(const consensus::message& input, reply_messages reply) {
     group_.Receive(input, std::move(reply));
   }
@@ -115,27 +116,27 @@
     group_.ReportUnreachable(to);
   }
 
-  // Commits a command and answers with its result.
+  // Commits a command and calls `done` with its result.
   void Propose(command input, proposal_callback done);
-  // Checks and commits a configuration change; answers once it is in force
-  // everywhere.
+  // Checks and commits a configuration change. Calls `done` once the change is
+  // in force everywhere.
   void Submit(command input, proposal_callback done);
-  // Grants a configuration lease; answers when the view changes or a third of
-  // the lease has passed.
+  // Grants a configuration lease. Calls `done` when the view has changed or a
+  // third of the lease has passed.
   void RenewView(const view_request& request, view_callback done);
 
-  // The step's record, read under the leader's lease. Empty with the reason
-  // otherwise.
+  // Reads the step's record under the leader's lease. Returns nothing, with the
+  // reason, if it is not available.
   std::optional<step_record> ReadStep(const std::string& pool,
                                       const std::string& step) const;
 
-  // Gives leadership away before a planned stop. False when there is nobody to
-  // take it.
+  // Transfers leadership before a planned shutdown. Returns false if no other
+  // voter can take over.
   bool HandOver() { return group_.HandOver(); }
 
   bool IsServing() const { return group_.IsServing(); }
-  // Whether this replica, with the data folder that it has now, is among the
-  // voters.
+  // Whether this replica, identified by its instance and its current data
+  // folder, is a voter.
   bool IsVoter() const { return group_.IsVoter(); }
   bool NeedsToJoin() const { return group_.NeedsToJoin(); }
   uint64_t Term() const { return group_.Raft().hard.term; }
@@ -148,17 +149,17 @@
   std::string EncodeState() const;
 
  private:
-  struct waiting_submission {
+  struct pending_submission {
     uint64_t index = 0;
     core::time_point committed_at{};
     proposal_answer answer;
     proposal_callback done;
   };
-  struct held_submission {
+  struct delayed_submission {
     command input;
     proposal_callback done;
   };
-  struct parked_view {
+  struct pending_view {
     view_request request;
     view_callback done;
     core::time_point answer_at{};
@@ -172,30 +173,30 @@
   void OnLeadership(bool is_leader) override;
   void OnApplied() override;
   void OnStorageFailure() override { on_storage_failure_(); }
-  void FailWaiting();
-  void RetryHeldSubmissions();
+  void FailPendingSubmissions();
+  void RetryDelayedSubmissions();
   void AnswerSubmissions();
-  bool Decide(waiting_submission& item);
-  void AnswerParkedViews();
+  bool Decide(pending_submission& item);
+  void AnswerPendingViews();
   void GrantView(const view_request& request, const view_callback& done);
-  void ForgetLostInstances();
+  void RemoveTerminatedInstances();
   proposal_answer NotLeader() const;
   bool ProposeEntry(command input, proposal_callback done);
-  std::map<std::string, size_t> SitesThatCount() const;
+  std::map<std::string, size_t> IncludedSites() const;
 
   const core::runtime_clock& clock_;
   const replica_settings settings_;
   std::function<void()> on_storage_failure_;
   consensus::group_replica group_;
   control_state state_;
-  command_result last_result_;  // of the command applied last
+  command_result last_result_;  // result of the command applied last
   uint64_t view_version_ = 0;
   lease_book leases_;
 
-  std::vector<waiting_submission> submissions_;
-  std::vector<held_submission>
-      early_submissions_;  // until the lease book is complete
-  std::vector<parked_view> parked_views_;
+  std::vector<pending_submission> submissions_;
+  // Submissions delayed until the lease table is complete.
+  std::vector<delayed_submission> delayed_submissions_;
+  std::vector<pending_view> pending_views_;
 };
 
 }  // namespace hickorywood::control
--- a/packages/control/replica_leases.cc
+++ b/packages/control/replica_leases.cc
@@ -1,5 +1,5 @@
-// The leader's side of configuration leases: views, and changes that wait until
-// they are in force.
+// The leader's part of configuration leases: views, and changes that are
+// pending until they are in force.
 
 #include <algorithm>
 #include <utility>
@@ -13,9 +13,9 @@
 using core::event_id;
 using core::LogEvent;
 
-// An instance without a lease for this many lease times is taken for dead: what
-// it had under way is of unknown fate.
-constexpr int kLostAfterLeases = 8;
+// An instance whose lease expired this many lease durations ago is considered
+// terminated. The outcome of its unfinished claims is then unknown.
+constexpr int kTerminatedAfterLeases = 8;
 
 std::set<std::string> SiteNames(const replica_settings& settings) {
   std::set<std::string> names;
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-std::map<std::string, size_t> replica::SitesThatCount() const {
+std::map<std::string, size_t> replica::IncludedSites() const {
   std::map<std::string, size_t> sites = settings_.site_sizes;
   for (const std::string& site : state_.excluded_sites) sites.erase(site);
   return sites;
@@ -36,10 +36,10 @@
     done(NotLeader());
     return;
   }
-  // A new leader does not know yet who holds a lease, so it can't tell a dark
-  // site from a live one.
+  // A new leader's lease table is incomplete, so the leader can't distinguish
+  // an unreachable site from a reachable one yet.
   if (clock_.Now() < leases_.complete_at) {
-    early_submissions_.push_back({std::move(input), std::move(done)});
+    delayed_submissions_.push_back({std::move(input), std::move(done)});
     return;
   }
   const bool is_repeat =
@@ -60,13 +60,13 @@
       done(std::move(refusal));
       return;
     }
-    const std::vector<std::string> dark =
-        DarkSites(leases_, SitesThatCount(), 0, clock_.Now());
-    if (!dark.empty()) {
+    const std::vector<std::string> unreachable =
+        DarkSites(leases_, IncludedSites(), 0, clock_.Now());
+    if (!unreachable.empty()) {
       LogEvent(event_id::kConfigurationHeld,
-               {{"change", input.change_id}, {"site", dark.front()}});
+               {{"change", input.change_id}, {"site", unreachable.front()}});
       refusal.status = proposal_status::kHeld;
-      for (const std::string& site : dark) {
+      for (const std::string& site : unreachable) {
         refusal.findings += "site " + site + " unreachable\n";
       }
       done(std::move(refusal));
@@ -91,40 +91,41 @@
   });
 }
 
-void replica::RetryHeldSubmissions() {
-  if (early_submissions_.empty() || clock_.Now() < leases_.complete_at) return;
-  std::vector<held_submission> early = std::move(early_submissions_);
-  early_submissions_.clear();
-  for (held_submission& item : early) {
+void replica::RetryDelayedSubmissions() {
+  if (delayed_submissions_.empty() || clock_.Now() < leases_.complete_at)
+    return;
+  std::vector<delayed_submission> delayed = std::move(delayed_submissions_);
+  delayed_submissions_.clear();
+  for (delayed_submission& item : delayed) {
     Submit(std::move(item.input), std::move(item.done));
   }
 }
 
 void replica::AnswerSubmissions() {
   if (submissions_.empty() || !IsServing()) return;
-  std::vector<waiting_submission> still_waiting;
-  std::vector<waiting_submission> decided;
-  for (waiting_submission& item : submissions_) {
-    (Decide(item) ? decided : still_waiting).push_back(std::move(item));
+  std::vector<pending_submission> still_pending;
+  std::vector<pending_submission> decided;
+  for (pending_submission& item : submissions_) {
+    (Decide(item) ? decided : still_pending).push_back(std::move(item));
   }
-  submissions_ = std::move(still_waiting);
-  for (waiting_submission& item : decided) item.done(std::move(item.answer));
+  submissions_ = std::move(still_pending);
+  for (pending_submission& item : decided) item.done(std::move(item.answer));
 }
 
-// A site can go dark right after the check before the commit. Its leases run
-// out then, but it goes on serving the older revision as a whole: the change is
-// committed and must still not be called accepted. The operator hears which
-// site is missing; the same change id asks again.
-bool replica::Decide(waiting_submission& item) {
+// A site can become unreachable between the check and the commit. Its leases
+// expire then, but the whole site continues to serve the older revision, so the
+// committed change must not be reported as accepted. The response contains the
+// missing site; the operator can repeat the request with the same change id.
+bool replica::Decide(pending_submission& item) {
   const core::time_point now = clock_.Now();
-  const std::vector<std::string> dark =
-      DarkSites(leases_, SitesThatCount(), item.index, now);
-  if (dark.empty() && IsInForceEverywhere(leases_, item.index, now)) {
+  const std::vector<std::string> unreachable =
+      DarkSites(leases_, IncludedSites(), item.index, now);
+  if (unreachable.empty() && IsInForceEverywhere(leases_, item.index, now)) {
     return true;
   }
   if (now < item.committed_at + settings_.configuration_lease * 2) return false;
   item.answer.status = proposal_status::kHeld;
-  for (const std::string& site : dark) {
+  for (const std::string& site : unreachable) {
     item.answer.findings += "site " + site + " unreachable; revision " +
                             std::to_string(item.answer.result.revision) +
                             " is not in force there yet\n";
@@ -145,8 +146,8 @@
     AnswerSubmissions();
     return;
   }
-  // Until the new process is on record, claims of the one before would count as
-  // still under way.
+  // Until the new process is registered, claims of the previous process would
+  // count as in progress.
   const auto boot = state_.boots.find(request.instance);
   if (boot == state_.boots.end() || boot->second != request.boot) {
     command input;
@@ -168,8 +169,9 @@
   if (request.version != view_version_ || request.is_first) {
     GrantView(request, done);
   } else {
-    parked_views_.push_back({request, std::move(done),
-                             clock_.Now() + settings_.configuration_lease / 3});
+    pending_views_.push_back(
+        {request, std::move(done),
+         clock_.Now() + settings_.configuration_lease / 3});
   }
   AnswerSubmissions();
 }
@@ -190,27 +192,27 @@
   done(reply);
 }
 
-void replica::AnswerParkedViews() {
-  if (parked_views_.empty()) return;
+void replica::AnswerPendingViews() {
+  if (pending_views_.empty()) return;
   const core::time_point now = clock_.Now();
   const bool is_serving = IsServing();
-  std::vector<parked_view> still_parked;
-  std::vector<parked_view> due;
-  for (parked_view& item : parked_views_) {
+  std::vector<pending_view> still_pending;
+  std::vector<pending_view> due;
+  for (pending_view& item : pending_views_) {
     const bool is_due = !is_serving || item.request.version != view_version_ ||
                         now >= item.answer_at;
-    (is_due ? due : still_parked).push_back(std::move(item));
+    (is_due ? due : still_pending).push_back(std::move(item));
   }
-  parked_views_ = std::move(still_parked);
-  for (const parked_view& item : due) GrantView(item.request, item.done);
+  pending_views_ = std::move(still_pending);
+  for (const pending_view& item : due) GrantView(item.request, item.done);
 }
 
-void replica::ForgetLostInstances() {
+void replica::RemoveTerminatedInstances() {
   const core::time_point now = clock_.Now();
   for (auto item = leases_.holders.begin(); item != leases_.holders.end();) {
-    const bool is_lost =
-        now - item->second.expires_at > leases_.duration * kLostAfterLeases;
-    if (!is_lost) {
+    const bool is_terminated = now - item->second.expires_at >
+                               leases_.duration * kTerminatedAfterLeases;
+    if (!is_terminated) {
       ++item;
       continue;
     }
--- a/packages/control/state_machine.cc
+++ b/packages/control/state_machine.cc
@@ -8,7 +8,7 @@
 namespace hickorywood::control {
 namespace {
 
-// Claims are bounded by the configuration; before there is one, by these.
+// Limits for claims before the first configuration is accepted.
 const settings::claims_config kLimitsBeforeConfiguration{std::chrono::hours(24),
                                                          100000, 65536};
 
@@ -36,8 +36,8 @@
   return nullptr;
 }
 
-command_result Refuse(const control_state& state, command_outcome outcome,
-                      std::string text) {
+command_result MakeResult(const control_state& state, command_outcome outcome,
+                          std::string text) {
   command_result result;
   result.outcome = outcome;
   result.reason = std::move(text);
@@ -48,19 +48,19 @@
 command_result ApplySubmit(control_state& state, const command& input) {
   if (const change_record* earlier = FindChange(state, input.change_id)) {
     if (earlier->digest != SubmissionDigest(input)) {
-      return Refuse(state, command_outcome::kConflict,
-                    "this change id was used for another change");
+      return MakeResult(state, command_outcome::kConflict,
+                        "this change id was used for another change");
     }
     command_result result =
-        Refuse(state, command_outcome::kAccepted, "accepted before");
+        MakeResult(state, command_outcome::kAccepted, "accepted before");
     result.revision = earlier->revision;
     return result;
   }
   if (input.based_on != state.revision) {
     command_result result =
-        Refuse(state, command_outcome::kConflict,
-               "based on revision " + std::to_string(input.based_on) +
-                   ", in force is " + std::to_string(state.revision));
+        MakeResult(state, command_outcome::kConflict,
+                   "based on revision " + std::to_string(input.based_on) +
+                       ", in force is " + std::to_string(state.revision));
     for (const change_record& change : state.changes) {
       if (change.based_on == input.based_on) result.winner = change.change_id;
     }
@@ -75,10 +75,10 @@
   ++state.revision;
   state.changes.push_back({input.change_id, input.based_on, state.revision,
                            input.scope, SubmissionDigest(input)});
-  if (state.changes.size() > kChangesKept) {
+  if (state.changes.size() > kMaxChanges) {
     state.changes.erase(state.changes.begin());
   }
-  return Refuse(state, command_outcome::kAccepted, "");
+  return MakeResult(state, command_outcome::kAccepted, "");
 }
 
 command_result ApplyExclusion(control_state& state, const command& input) {
@@ -87,11 +87,12 @@
   } else {
     state.excluded_sites.erase(input.scope);
   }
-  return Refuse(state, command_outcome::kAccepted, "");
+  return MakeResult(state, command_outcome::kAccepted, "");
 }
 
-void DropExpiredClaims(control_state& state,
-                       const settings::claims_config& config, int64_t now_ms) {
+void RemoveExpiredClaims(control_state& state,
+                         const settings::claims_config& config,
+                         int64_t now_ms) {
   for (auto item = state.claims.begin(); item != state.claims.end();) {
     const bool is_expired =
         now_ms - item->second.claimed_ms > config.retention.count();
@@ -100,36 +101,36 @@
   }
 }
 
-// The answer to a call whose key was claimed before. The call itself never runs
-// again.
+// Returns the result for a call whose key is already claimed. The call itself
+// never runs again.
 command_result RepeatClaim(const control_state& state,
                            const claim_record& claim, const command& input) {
   if (claim.request_digest != input.request_digest) {
-    return Refuse(state, command_outcome::kConflict,
-                  "this idempotency key was used for another request");
+    return MakeResult(state, command_outcome::kConflict,
+                      "this idempotency key was used for another request");
   }
   if (claim.state == claim_state::kFinished) {
     command_result result =
-        Refuse(state, command_outcome::kExists, "recorded answer");
+        MakeResult(state, command_outcome::kExists, "recorded answer");
     result.status = claim.status;
     result.body = claim.body;
     result.content_type = claim.content_type;
     return result;
   }
   if (claim.state == claim_state::kClaimed && claim.nonce == input.nonce) {
-    return Refuse(state, command_outcome::kAccepted,
-                  "claimed by this attempt before");
+    return MakeResult(state, command_outcome::kAccepted,
+                      "claimed by this attempt before");
   }
   const auto boot = state.boots.find(claim.instance);
-  const bool is_holder_gone =
+  const bool is_process_terminated =
       boot != state.boots.end() && boot->second != claim.boot;
-  if (claim.state == claim_state::kUnknown || is_holder_gone) {
-    return Refuse(
+  if (claim.state == claim_state::kUnknown || is_process_terminated) {
+    return MakeResult(
         state, command_outcome::kUnknown,
-        "an earlier attempt was cut off; whether it ran is not known");
+        "an earlier attempt was interrupted; it is unknown whether it ran");
   }
-  return Refuse(state, command_outcome::kInProgress,
-                "an earlier attempt is still under way");
+  return MakeResult(state, command_outcome::kInProgress,
+                    "an earlier attempt is still in progress");
 }
 
 command_result ApplyClaim(control_state& state, const command& input) {
@@ -140,12 +141,13 @@
 
   const settings::claims_config& config = ClaimsConfig(state);
   if (state.claims.size() >= static_cast<size_t>(config.maximum)) {
-    DropExpiredClaims(state, config, input.now_ms);
+    RemoveExpiredClaims(state, config, input.now_ms);
   }
-  // Dropping a claim that has not expired would let its call run twice, so a
-  // new one has to wait.
+  // Removing a claim that has not expired would allow its call to run twice, so
+  // the new claim is rejected.
   if (state.claims.size() >= static_cast<size_t>(config.maximum)) {
-    return Refuse(state, command_outcome::kFull, "'claims.maximum' is reached");
+    return MakeResult(state, command_outcome::kFull,
+                      "'claims.maximum' is reached");
   }
   claim_record claim;
   claim.instance = input.instance;
@@ -154,24 +156,25 @@
   claim.request_digest = input.request_digest;
   claim.claimed_ms = input.now_ms;
   state.claims[input.claim_key] = claim;
-  return Refuse(state, command_outcome::kAccepted, "");
+  return MakeResult(state, command_outcome::kAccepted, "");
 }
 
 command_result ApplyFinishClaim(control_state& state, const command& input) {
   const auto found = state.claims.find(input.claim_key);
   if (found == state.claims.end()) {
-    return Refuse(state, command_outcome::kStale, "no such claim");
+    return MakeResult(state, command_outcome::kStale, "no such claim");
   }
   claim_record& claim = found->second;
   if (claim.nonce != input.nonce) {
-    return Refuse(state, command_outcome::kStale, "claimed by another attempt");
+    return MakeResult(state, command_outcome::kStale,
+                      "claimed by another attempt");
   }
   if (claim.state != claim_state::kClaimed) {
-    return Refuse(state, command_outcome::kExists, "finished before");
+    return MakeResult(state, command_outcome::kExists, "finished before");
   }
   if (input.is_not_run) {
     state.claims.erase(found);
-    return Refuse(state, command_outcome::kAccepted, "");
+    return MakeResult(state, command_outcome::kAccepted, "");
   }
   claim.state = input.is_known ? claim_state::kFinished : claim_state::kUnknown;
   claim.status = input.status;
@@ -179,23 +182,23 @@
   const bool fits =
       input.body.size() <=
           static_cast<size_t>(ClaimsConfig(state).answer_bytes) &&
-      state.claim_body_bytes + input.body.size() <= kMostClaimBytes;
+      state.claim_body_bytes + input.body.size() <= kMaxClaimBodyBytes;
   if (fits) {
     claim.body = input.body;
     state.claim_body_bytes += input.body.size();
   }
-  return Refuse(state, command_outcome::kAccepted, "");
+  return MakeResult(state, command_outcome::kAccepted, "");
 }
 
 command_result DescribeStep(const control_state& state, const step_record& step,
                             command_outcome outcome) {
-  command_result result = Refuse(state, outcome, "");
+  command_result result = MakeResult(state, outcome, "");
   result.coordinator = step.coordinator;
   result.epoch = step.epoch;
   return result;
 }
 
-void DropOldSteps(control_state& state, int64_t now_ms) {
+void RemoveOldSteps(control_state& state, int64_t now_ms) {
   for (auto item = state.steps.begin(); item != state.steps.end();) {
     const bool is_old =
         now_ms - item->second.opened_ms > kStepRetention.count();
@@ -212,9 +215,9 @@
         state, found->second,
         is_same ? command_outcome::kExists : command_outcome::kConflict);
   }
-  DropOldSteps(state, input.now_ms);
-  if (state.steps.size() >= kMostSteps) {
-    return Refuse(state, command_outcome::kFull, "too many steps");
+  RemoveOldSteps(state, input.now_ms);
+  if (state.steps.size() >= kMaxSteps) {
+    return MakeResult(state, command_outcome::kFull, "too many steps");
   }
   step_record step;
   step.coordinator = input.instance;
@@ -230,7 +233,7 @@
 command_result ApplyTakeOver(control_state& state, const command& input) {
   const auto found = state.steps.find(StepKey(input.pool, input.step));
   if (found == state.steps.end()) {
-    return Refuse(state, command_outcome::kInvalid, "no such step");
+    return MakeResult(state, command_outcome::kInvalid, "no such step");
   }
   step_record& step = found->second;
   if (step.is_closed) return DescribeStep(state, step, command_outcome::kStale);
@@ -254,7 +257,7 @@
 command_result ApplyCommitBatch(control_state& state, const command& input) {
   const auto found = state.steps.find(StepKey(input.pool, input.step));
   if (found == state.steps.end()) {
-    return Refuse(state, command_outcome::kInvalid, "no such step");
+    return MakeResult(state, command_outcome::kInvalid, "no such step");
   }
   step_record& step = found->second;
   if (step.epoch != input.epoch) {
@@ -267,16 +270,16 @@
     return result;
   }
   if (cursor != step.batches.size() + 1) {
-    return Refuse(state, command_outcome::kInvalid, "cursor out of order");
+    return MakeResult(state, command_outcome::kInvalid, "cursor out of order");
   }
-  // The coordinator should never offer a slot twice; if it does, the sample
-  // must not go out again.
+  // The coordinator should never deliver a slot twice. If it does, the sample
+  // must not be delivered again.
   const bool repeats_slot =
       std::any_of(input.batch.slots.begin(), input.batch.slots.end(),
                   [&step](int64_t slot) { return IsDelivered(step, slot); });
   if (repeats_slot) {
-    return Refuse(state, command_outcome::kInvalid,
-                  "a sample of the batch was delivered before");
+    return MakeResult(state, command_outcome::kInvalid,
+                      "a sample of the batch was delivered before");
   }
   step.batches.push_back(input.batch);
   command_result result = DescribeStep(state, step, command_outcome::kAccepted);
@@ -287,10 +290,10 @@
 command_result ApplyCloseStep(control_state& state, const command& input) {
   const auto found = state.steps.find(StepKey(input.pool, input.step));
   if (found == state.steps.end()) {
-    return Refuse(state, command_outcome::kInvalid, "no such step");
+    return MakeResult(state, command_outcome::kInvalid, "no such step");
   }
-  // The first end counts: a coordinator that closes again after a lost answer
-  // can't turn a missed deadline into a whole step.
+  // The first result is kept: a coordinator that closes the step again after a
+  // lost response can't turn a missed deadline into a complete step.
   if (!found->second.is_closed) found->second.end_status = input.status;
   found->second.is_closed = true;
   return DescribeStep(state, found->second, command_outcome::kAccepted);
@@ -301,21 +304,21 @@
   const bool is_newer = input.version > version;
   const bool is_repeat = input.version == version;
   if (is_newer) version = input.version;
-  command_result result = Refuse(state,
-                                 is_newer    ? command_outcome::kAccepted
-                                 : is_repeat ? command_outcome::kExists
-                                             : command_outcome::kStale,
-                                 "");
+  command_result result = MakeResult(state,
+                                     is_newer    ? command_outcome::kAccepted
+                                     : is_repeat ? command_outcome::kExists
+                                                 : command_outcome::kStale,
+                                     "");
   result.version = version;
   return result;
 }
 
-// A new process of an instance: whatever its predecessor had under way is of
-// unknown fate.
+// Registers a new process of an instance. The outcome of the claims of its
+// previous process becomes unknown.
 command_result ApplyRegisterInstance(control_state& state,
                                      const command& input) {
   state.boots[input.instance] = input.boot;
-  return Refuse(state, command_outcome::kAccepted, "");
+  return MakeResult(state, command_outcome::kAccepted, "");
 }
 
 }  // namespace
@@ -344,7 +347,7 @@
     case command_kind::kRegisterInstance:
       return ApplyRegisterInstance(state, input);
   }
-  return Refuse(state, command_outcome::kInvalid, "unknown command");
+  return MakeResult(state, command_outcome::kInvalid, "unknown command");
 }
 
 std::vector<core::finding> CheckSubmission(const control_state& state,
--- a/packages/control/state_machine.h
+++ b/packages/control/state_machine.h
@@ -2,8 +2,8 @@
 #define HICKORYWOOD_CONTROL_STATE_MACHINE_H_
 
 // The replicated state: configuration, claims of non-idempotent calls, steps,
-// weight versions. Apply() is deterministic: it depends on the state and the
-// command only, so every replica that applied the same entries holds the same
+// weight versions. Apply() is deterministic: it depends only on the state and
+// the command, so all replicas that have applied the same entries have the same
 // state.
 
 #include <chrono>
@@ -26,8 +26,8 @@
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(stored_file, file, text)
 
-// An accepted change, kept so that a repeat gets the same answer and a loser
-// learns the winner.
+// An accepted change. It is retained so that a repeated submission gets the
+// same result, and a conflicting one gets the id of the accepted change.
 struct change_record {
   std::string change_id;
   uint64_t based_on = 0;
@@ -65,7 +65,8 @@
   std::vector<std::string> holders;
   std::vector<batch_record> batches;  // by cursor, from 1
   bool is_closed = false;
-  int end_status = 0;  // closed: 200 whole, 206 partial, 504 deadline missed
+  int end_status =
+      0;  // if closed: 200 complete, 206 partial, 504 deadline missed
   int64_t opened_ms = 0;
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(step_record, coordinator, boot,
@@ -74,20 +75,21 @@
                                                 opened_ms)
 
 struct control_state {
-  uint64_t revision = 0;  // rises by one with each accepted change, never falls
+  uint64_t revision =
+      0;  // increases by one with each accepted change, never decreases
   stored_file base;
   std::map<std::string, stored_file> overlays;  // by site
-  std::vector<change_record> changes;           // the latest kChangesKept
+  std::vector<change_record> changes;           // the latest kMaxChanges
   std::set<std::string> excluded_sites;
   std::map<std::string, claim_record> claims;  // by service and key
   std::map<std::string, step_record> steps;    // by "pool/step"
   std::map<std::string, int64_t> weights;  // latest published version by pool
   std::map<std::string, std::string>
       boots;                    // latest process id of each instance
-  size_t claim_body_bytes = 0;  // recorded answers, all together
+  size_t claim_body_bytes = 0;  // total size of the recorded response bodies
 
-  // Derived from the files of `limits_revision`, so that a claim need not parse
-  // them again.
+  // Cached from the files of `limits_revision`, so that a claim doesn't need to
+  // parse them again.
   settings::claims_config limits;
   uint64_t limits_revision = 0;
 };
@@ -96,29 +98,30 @@
                                                 excluded_sites, claims, steps,
                                                 weights, boots)
 
-constexpr size_t kChangesKept = 1000;
-constexpr size_t kMostSteps = 20000;
-// Past this only the outcome of a claim is recorded, not its answer's body.
-constexpr size_t kMostClaimBytes = 64 * 1024 * 1024;
-// Closed and abandoned steps are forgotten after this time.
+constexpr size_t kMaxChanges = 1000;
+constexpr size_t kMaxSteps = 20000;
+// Above this total size only the outcome of a claim is recorded, not the body
+// of its response.
+constexpr size_t kMaxClaimBodyBytes = 64 * 1024 * 1024;
+// Steps are removed this long after they were opened.
 constexpr std::chrono::milliseconds kStepRetention = std::chrono::hours(6);
 
-// Applies one command and returns its answer.
+// Applies one command and returns its result.
 command_result Apply(control_state& state, const command& input);
 
-// Checks a submission against `state` without changing anything: the files as
-// they would be, merged for every site. Findings tell all that is wrong.
+// Checks a submission against `state` without changing it: the resulting files
+// are merged and validated for every site. The findings contain all errors.
 // `sites` are the sites of the fleet's instances.
 std::vector<core::finding> CheckSubmission(const control_state& state,
                                            const command& input,
                                            const std::set<std::string>& sites);
 
-// The configuration in force at `site`; empty before the first base file was
-// accepted.
+// Returns the configuration in force at `site`; nothing before the first base
+// file was accepted.
 std::optional<settings::site_config> SiteConfig(const control_state& state,
                                                 const std::string& site);
 
-// The key of a step in control_state::steps.
+// Returns the key of a step in control_state::steps.
 std::string StepKey(const std::string& pool, const std::string& step);
 
 }  // namespace hickorywood::control
--- a/packages/membership/exchange.h
+++ b/packages/membership/exchange.h
@@ -60,7 +60,7 @@
   // Version of the receiver's table that the sender has.
   uint64_t seen_version = 0;
   std::string seen_boot;  // boot id of the process with `seen_version`
-  // ^Version of the sender's table that the receiver has after merging the
+  // Version of the sender's table that the receiver has after merging the
   // records.
   uint64_t up_to = 0;
   std::vector<told_record> records;
--- a/tests/unit/control/configuration_lease_test.cc
+++ b/tests/unit/control/configuration_lease_test.cc
@@ -12,7 +12,7 @@
 
 lease_book Book() {
   lease_book book;
-  StartLeaseBook(book, milliseconds(1000), kStart);
+  StartLeaseTable(book, milliseconds(1000), kStart);
   return book;
 }
 
