--- a/packages/rollout/body_store.cc
+++ b/packages/rollout/body_store.cc
@@ -3,12 +3,12 @@
 namespace hickorywood::rollout {
 namespace {
 
-// Replaces `place` by `body` if the whole stays within the limit.
-bool Replace(body_store& store, std::string& place, const std::string& body) {
-  const size_t after = store.bytes - place.size() + body.size();
+// Replaces `stored` by `body` if the total stays within the limit.
+bool Replace(body_store& store, std::string& stored, const std::string& body) {
+  const size_t after = store.bytes - stored.size() + body.size();
   if (after > store.byte_limit) return false;
   store.bytes = after;
-  place = body;
+  stored = body;
   return true;
 }
 
--- a/packages/rollout/body_store.h
+++ b/packages/rollout/body_store.h
@@ -1,9 +1,9 @@
 #ifndef HICKORYWOOD_ROLLOUT_BODY_STORE_H_
 #define HICKORYWOOD_ROLLOUT_BODY_STORE_H_
 
-// Specs and sample bodies held in memory: by the coordinator of a step, and by
-// one instance in another availability zone, so that losing either loses
-// nothing.
+// In-memory store of specs and sample bodies. The coordinator of a step and one
+// instance in another availability zone each have a copy, so that the loss of
+// either one loses no data.
 
 #include <chrono>
 #include <cstdint>
@@ -17,7 +17,7 @@
 
 namespace hickorywood::rollout {
 
-// All that is held of one step.
+// Everything stored for one step.
 struct held_step {
   std::string spec;                        // step_spec as JSON
   std::map<int64_t, std::string> samples;  // sample as JSON, by slot
@@ -30,7 +30,7 @@
   std::map<std::string, held_step> steps;  // by "pool/step"
 };
 
-// False when the limit is reached; nothing is held then.
+// Return false, and store nothing, if the limit is reached.
 bool HoldSpec(body_store& store, const std::string& step_key,
               const std::string& spec, core::time_point now);
 bool HoldSample(body_store& store, const std::string& step_key, int64_t slot,
@@ -39,7 +39,7 @@
 void DropSample(body_store& store, const std::string& step_key, int64_t slot);
 void DropStep(body_store& store, const std::string& step_key);
 
-// Drops steps that nobody touched for `idle`.
+// Removes steps that have not been accessed for `idle`.
 void DropIdle(body_store& store, core::time_point now, core::milliseconds idle);
 
 const held_step* FindHeld(const body_store& store, const std::string& step_key);
--- a/packages/rollout/burn.h
+++ b/packages/rollout/burn.h
@@ -1,9 +1,9 @@
 #ifndef HICKORYWOOD_ROLLOUT_BURN_H_
 #define HICKORYWOOD_ROLLOUT_BURN_H_
 
-// Service-level burn: how fast the error budget of each objective is used up,
-// over several windows, and what used it. Counts are kept per minute for an
-// hour, so memory is bounded.
+// Burn rates of service-level objectives: how fast the error budget of each
+// objective is used over several time windows, and by which causes. Counts are
+// stored per minute for one hour, which limits the memory.
 
 #include <array>
 #include <chrono>
@@ -32,13 +32,13 @@
 
 constexpr size_t kBurnMinutes = 60;
 
-// Good and bad amounts in one minute: milliseconds of trainer time, samples,
-// steps or calls.
+// Good and bad amounts in one minute. The unit depends on the objective:
+// milliseconds of trainer time, samples, steps or calls.
 struct burn_bucket {
-  int64_t minute = -1;  // since the epoch; -1: unused
+  int64_t minute = -1;  // minutes since the epoch; -1: unused
   double good = 0;
   double bad = 0;
-  std::map<std::string, double> causes;  // share of `bad` by cause
+  std::map<std::string, double> causes;  // part of `bad` by cause
 };
 
 struct burn_series {
@@ -47,7 +47,7 @@
 
 struct burn_key {
   objective kind = objective::kTrainerIdle;
-  std::string subject;  // pool or service
+  std::string subject;  // name of the pool or service
 };
 inline bool operator<(const burn_key& left, const burn_key& right) {
   return left.kind != right.kind ? left.kind < right.kind
@@ -58,13 +58,13 @@
   std::map<burn_key, burn_series> series;
 };
 
-// Adds amounts at wall time `now`. `cause` names what the bad part came from.
+// Adds amounts at wall time `now`. `cause` is the cause of the bad amount.
 void AddBurn(burn_recorder& recorder, objective kind,
              const std::string& subject, double good, double bad,
              const std::string& cause, core::wall_time now);
 
-// Sums over the last `window` of one series; what an instance sends to the
-// report.
+// Sums of one series over the last `window_minutes`. Instances send these to
+// the report.
 struct burn_sum {
   objective kind = objective::kTrainerIdle;
   std::string subject;
@@ -81,8 +81,9 @@
                               const std::vector<std::chrono::minutes>& windows,
                               core::wall_time now);
 
-// How many times faster than allowed the budget burns: bad share over allowed
-// bad share. 1 uses the budget exactly up. 0 without any measurement.
+// Returns the bad share divided by the allowed bad share: how many times faster
+// than allowed the error budget is used. A rate of 1 uses exactly the budget.
+// Returns 0 without measurements.
 double BurnRate(const burn_sum& sum, double allowed_bad_share);
 
 }  // namespace hickorywood::rollout
--- a/packages/rollout/label.cc
+++ b/packages/rollout/label.cc
@@ -26,7 +26,7 @@
   if (chunk.token_count == 0) {
     return chunk.text.empty() || Refuse("text without tokens");
   }
-  if (!chunk.version) return Refuse("the chunk names no weight version");
+  if (!chunk.version) return Refuse("the chunk has no weight version");
   const bool continues = !generated.ranges.empty() &&
                          generated.ranges.back().version == *chunk.version;
   if (continues) {
--- a/packages/rollout/step.cc
+++ b/packages/rollout/step.cc
@@ -7,8 +7,9 @@
 namespace hickorywood::rollout {
 namespace {
 
-// With fewer samples done the median says little about how long a sample takes.
-constexpr size_t kFewestDurations = 4;
+// With fewer complete samples the median is not a reliable estimate of the
+// duration.
+constexpr size_t kMinDurations = 4;
 
 int64_t GroupSize(const step_run& step) { return step.spec.samples_per_prompt; }
 
@@ -19,7 +20,7 @@
   return nullptr;
 }
 
-void DropAttempt(step_run& step, slot& item, uint64_t id) {
+void RemoveAttempt(step_run& step, slot& item, uint64_t id) {
   const attempt* dropped = FindAttempt(item, id);
   if (dropped != nullptr) {
     step.hedge_tokens_reserved -= dropped->reserved_tokens;
@@ -66,15 +67,15 @@
       .count();
 }
 
-// Tokens that a copy starting now is expected to generate beside the attempt
-// that it may lose to.
+// Expected number of tokens that a hedge started now generates in addition to
+// the original attempt.
 int64_t ExpectedHedgeTokens(const step_run& step, const attempt& original) {
-  // Lengths are heavy-tailed: a sample past the mean has most likely a good
-  // part of it still to come.
-  constexpr int64_t kLeastShareOfMean = 3;
+  // The lengths are heavy-tailed: a sample longer than the mean most likely has
+  // a considerable part still to come.
+  constexpr int64_t kMeanDivisor = 3;
   const int64_t mean = MeanTokens(step);
   const int64_t left_of_mean = mean - original.so_far.token_count;
-  return std::max<int64_t>({1, left_of_mean, mean / kLeastShareOfMean});
+  return std::max<int64_t>({1, left_of_mean, mean / kMeanDivisor});
 }
 
 bool HasHedgeBudget(const step_run& step, const hedge_policy& policy,
@@ -85,11 +86,12 @@
   return static_cast<double>(spent + expected) <= allowed;
 }
 
-// Copies the slowest running samples, each from where it has got to, so that a
-// copy costs only the tokens that are still missing.
+// Starts hedges for running samples that exceed the threshold. Each hedge
+// continues from the original's current text, so that it costs only the tokens
+// that are still missing.
 void AddHedges(step_run& step, const hedge_policy& policy, time_point now,
                size_t limit, std::vector<launch>& launches) {
-  if (!policy.is_enabled || step.durations.size() < kFewestDurations) return;
+  if (!policy.is_enabled || step.durations.size() < kMinDurations) return;
   const double threshold = policy.after * MedianDuration(step);
   for (size_t i = 0; i < step.slots.size() && launches.size() < limit; ++i) {
     const slot& item = step.slots[i];
@@ -106,8 +108,9 @@
   }
 }
 
-// Tokens generated in vain by a copy that lost: not those which it took over
-// from the original, nor those of the original which the winner took over.
+// Number of tokens that a losing attempt generated in vain. Not counted are the
+// tokens that a losing hedge resumed from the original, and the tokens of a
+// losing original that the winner resumed.
 int64_t WastedTokens(const attempt& lost, const attempt& winner) {
   return lost.so_far.token_count -
          (lost.is_hedge ? lost.resumed_tokens : winner.resumed_tokens);
@@ -145,9 +148,9 @@
   }
   if (spec.samples_per_prompt < 1 || spec.max_tokens < 1 ||
       spec.max_tokens > kMostTokens) {
-    return Fail(
-        reason_code::kInvalid,
-        "samples_per_prompt and max_tokens must be positive and sensible");
+    return Fail(reason_code::kInvalid,
+                "samples_per_prompt must be positive, and max_tokens must lie "
+                "between 1 and 131072");
   }
   if (spec.deadline_ms < 0) {
     return Fail(reason_code::kInvalid, "deadline_ms must not be negative");
@@ -230,7 +233,7 @@
   const auto index = static_cast<size_t>(slot_index);
   slot& item = step.slots[index];
   if (item.state != slot_state::kRunning) return;
-  DropAttempt(step, item, attempt_id);
+  RemoveAttempt(step, item, attempt_id);
   if (!item.attempts.empty()) return;
   SetWaiting(step, index);
   item.not_before = now + pause;
