--- a/packages/settings/fleet_config.cc
+++ b/packages/settings/fleet_config.cc
@@ -24,9 +24,10 @@
   return rule;
 }
 
-void AddFinding(const located_value& place, std::string text,
+void AddFinding(const located_value& location, std::string text,
                 std::vector<core::finding>& findings) {
-  findings.push_back({place.file, place.line, place.column, std::move(text)});
+  findings.push_back(
+      {location.file, location.line, location.column, std::move(text)});
 }
 
 bool IsAtSite(const tree_reader& reader, const std::string& path,
@@ -97,7 +98,8 @@
   return config;
 }
 
-// References between settings, which no single value shows.
+// Checks references between settings, which can't be checked for a single
+// value.
 void CheckReferences(const value_tree& tree,
                      std::vector<core::finding>& findings) {
   const std::vector<std::string> pools = ChildNames(tree, "pools");
@@ -124,8 +126,8 @@
   }
 }
 
-// Malformed and overlapping routes: of two rules where one covers the other,
-// one is a mistake.
+// Checks for malformed and overlapping routes. If one route covers another one,
+// one of them is a mistake.
 void CheckRoutes(const value_tree& tree, std::vector<core::finding>& findings) {
   for (const std::string& name : ChildNames(tree, "services")) {
     const auto found = tree.values.find("services." + name + ".non_idempotent");
@@ -161,8 +163,9 @@
          left.column == right.column && left.text == right.text;
 }
 
-// A fault of the base shows again in each site's merge; it is reported once.
-void DropRepeated(std::vector<core::finding>& findings) {
+// An error in the base file is found again in each merged configuration and
+// must be reported only once.
+void RemoveDuplicates(std::vector<core::finding>& findings) {
   std::vector<core::finding> unique;
   for (const core::finding& item : findings) {
     const bool is_known = std::any_of(unique.begin(), unique.end(),
@@ -196,7 +199,7 @@
     CheckRoutes(merged, findings);
     sites[site] = ReadSite(merged, site);
   }
-  DropRepeated(findings);
+  RemoveDuplicates(findings);
   if (!findings.empty()) {
     return core::Fail(core::reason_code::kInvalid,
                       std::to_string(findings.size()) + " findings");
--- a/packages/settings/fleet_config.h
+++ b/packages/settings/fleet_config.h
@@ -1,8 +1,8 @@
 #ifndef HICKORYWOOD_SETTINGS_FLEET_CONFIG_H_
 #define HICKORYWOOD_SETTINGS_FLEET_CONFIG_H_
 
-// The fleet's configuration: one base file and one overlay per site, merged for
-// each site.
+// The configuration of the fleet: one base file and one overlay per site, which
+// are merged for each site.
 
 #include <chrono>
 #include <cstdint>
@@ -17,7 +17,7 @@
 
 using std::chrono::milliseconds;
 
-// The name under which the base file is submitted, in place of a site's name.
+// Scope of the base file in submissions, in place of the name of a site.
 constexpr char kBaseScope[] = "base";
 
 struct pool_config {
@@ -26,13 +26,15 @@
   milliseconds weights_deadline{0};
   int64_t engine_concurrency = 0;
   milliseconds queue_wait{0};
-  double swap_floor = 0;  // share of engines
+  // Minimum share of engines that keep serving during a weight swap.
+  double swap_floor = 0;
   milliseconds progress_timeout{0};
-  double hedge_after = 0;         // times the median duration
-  double hedge_token_budget = 0;  // share of the step's tokens
+  double hedge_after = 0;  // multiple of the median duration
+  // Share of the step's tokens that hedges may generate in addition.
+  double hedge_token_budget = 0;
 };
 
-// A route that may not be repeated.
+// A route whose requests must not be repeated.
 struct route_rule {
   std::string method;
   std::string path_prefix;
@@ -50,10 +52,10 @@
 };
 
 struct routing_config {
-  double retry_budget = 0;  // share of successes
+  double retry_budget = 0;  // retries as a share of successful requests
   int64_t ejection_failures = 0;
   milliseconds ejection_time{0};
-  double ejection_floor = 0;  // share of endpoints
+  double ejection_floor = 0;  // minimum share of endpoints that are not ejected
   milliseconds connect_timeout{0};
 };
 
@@ -77,7 +79,7 @@
   double acknowledgement_share = 0;
 };
 
-// What is in force at one site.
+// The merged configuration of one site.
 struct site_config {
   std::map<std::string, pool_config> pools;
   std::map<std::string, service_config> services;
@@ -90,19 +92,20 @@
 
 // A configuration file as submitted.
 struct config_text {
-  std::string file;  // for findings
+  std::string file;  // name used in findings
   std::string text;
 };
 
-// Checks `base` with each overlay (by site) and returns the merged
-// configuration of every site. Empty when there is any finding; `findings` then
-// has all of them.
+// Validates `base` merged with each overlay (by site) and returns the merged
+// configuration of every site. If there are errors, returns nothing and adds
+// all of them to `findings`.
 std::optional<std::map<std::string, site_config>> CheckFleet(
     const config_text& base, const std::map<std::string, config_text>& overlays,
     std::vector<core::finding>& findings);
 
-// The merged configuration of `site`, which may have no overlay of its own. The
-// texts must have passed CheckFleet; empty with reason kInvalid otherwise.
+// Returns the merged configuration of `site`, which may have no overlay. The
+// texts must have passed CheckFleet(); otherwise returns nothing, with reason
+// kInvalid.
 std::optional<site_config> ConfigForSite(
     const config_text& base, const std::map<std::string, config_text>& overlays,
     const std::string& site);
--- a/packages/settings/instance_settings.cc
+++ b/packages/settings/instance_settings.cc
@@ -10,8 +10,8 @@
 namespace hickorywood::settings {
 namespace {
 
-// A file named for a token must hold one: an empty file would silently switch
-// the check off.
+// The file of a token must not be empty: an empty token would disable
+// authentication without notice.
 std::string ReadToken(const std::string& path,
                       std::vector<core::finding>& findings) {
   if (path.empty()) return "";
@@ -33,7 +33,7 @@
                                      const std::string& own_id) {
   std::vector<peer_settings> peers;
   for (const std::string& name : ChildNames(tree, "peers")) {
-    if (name == own_id) continue;  // one list can serve all instances
+    if (name == own_id) continue;  // all instances may use the same list
     const std::string path = "peers." + name;
     peers.push_back({name, reader.Text(path + ".address"),
                      reader.Text(path + ".site"), reader.Text(path + ".zone"),
@@ -100,8 +100,8 @@
   result.drain_notice = reader.Duration("drain.notice");
 
   // The voters' promise not to elect another leader lasts one election timeout.
-  // A lease as long as that could outlive the promise, and two leaders would
-  // act at once.
+  // A lease of the same duration could outlast the promise, and there could be
+  // two leaders at the same time.
   if (result.leader_lease * 10 > result.election_timeout * 9) {
     findings.push_back({files.empty() ? "settings" : files.back(), 0, 0,
                         "'consensus.leader_lease' must be at most 0.9 of "
--- a/packages/settings/instance_settings.h
+++ b/packages/settings/instance_settings.h
@@ -1,8 +1,8 @@
 #ifndef HICKORYWOOD_SETTINGS_INSTANCE_SETTINGS_H_
 #define HICKORYWOOD_SETTINGS_INSTANCE_SETTINGS_H_
 
-// The settings of one hickoryd process, read from layered YAML files: base,
-// specific, local.
+// The settings of one hickoryd process, read from layered YAML files in the
+// order base, specific, local.
 
 #include <chrono>
 #include <cstdint>
@@ -24,8 +24,8 @@
   bool is_control = false;
 };
 
-// The tokens themselves, read from their files. Empty: that kind of caller
-// needs none.
+// The tokens, read from their files. An empty token means that no token is
+// required for this kind of caller.
 struct token_set {
   std::string operators;
   std::string endpoints;
@@ -40,9 +40,9 @@
   std::string callers_address;
   std::string peers_address;
   int64_t listener_threads = 0;
-  std::string data_folder;  // empty: no control role
+  std::string data_folder;  // empty: not a control instance
   std::string ports_file;
-  std::vector<peer_settings> peers;  // the other instances, never this one
+  std::vector<peer_settings> peers;  // the other instances, without this one
   token_set tokens;
   milliseconds election_timeout{0};
   milliseconds heartbeat{0};
@@ -58,13 +58,14 @@
   bool IsControl() const { return !data_folder.empty(); }
 };
 
-// Reads the layers in order, later ones winning. Empty when there is any
-// finding.
+// Reads the layers in order; values of later ones take precedence. Returns
+// nothing if there are findings.
 std::optional<instance_settings> LoadInstanceSettings(
     const std::vector<std::string>& files,
     std::vector<core::finding>& findings);
 
-// The whole of a small file. Empty with reason kIo when it can't be read.
+// Reads a small file completely. Returns nothing, with reason kIo, if it can't
+// be read.
 std::optional<std::string> ReadTextFile(const std::string& path);
 
 }  // namespace hickorywood::settings
--- a/packages/settings/node_settings.cc
+++ b/packages/settings/node_settings.cc
@@ -11,21 +11,21 @@
 constexpr double kMillisPerMinute = 60.0 * 1000;
 constexpr double kMillisPerHour = 60 * kMillisPerMinute;
 
-// The port of an address "IP:PORT".
+// Returns the port of an address "IP:PORT".
 std::string PortOf(const std::string& address) {
   return address.substr(address.rfind(':') + 1);
 }
 
-// Seeds name an address of each control instance; the peer port is the same on
-// all instances.
+// A seed may be any address of a control instance. Only its host is used: the
+// peer port is the same on all instances.
 std::string PeerAddressOf(const std::string& seed, const std::string& port) {
   return seed.substr(0, seed.rfind(':')) + ":" + port;
 }
 
-std::optional<node_role> RoleOf(const std::string& word) {
-  if (word == "entry") return node_role::kEntry;
-  if (word == "control") return node_role::kControl;
-  if (word == "store") return node_role::kStore;
+std::optional<node_role> RoleOf(const std::string& name) {
+  if (name == "entry") return node_role::kEntry;
+  if (name == "control") return node_role::kControl;
+  if (name == "store") return node_role::kStore;
   return std::nullopt;
 }
 
@@ -35,7 +35,7 @@
                         const char* role) {
     if (!value.empty()) return;
     findings.push_back(
-        {file, 0, 0, std::string(name) + " is needed with role " + role});
+        {file, 0, 0, std::string(name) + " is required for role " + role});
   };
   if (settings.role == node_role::kEntry) {
     need(settings.callers_address, "listen.callers", "entry");
@@ -48,7 +48,7 @@
   need(settings.data_folder, "data_folder", "control or store");
   if (settings.leader_lease >= settings.election_timeout) {
     findings.push_back({file, 0, 0,
-                        "consensus.leader_lease is not below "
+                        "consensus.leader_lease must be less than "
                         "consensus.election_timeout"});
   }
 }
@@ -80,7 +80,7 @@
        "instance's own."},
       {"first_start", type::kFlag, "false", 0, 0,
        "Whether the whole deployment starts for the first time: then the first "
-       "seed founds the control group."},
+       "seed bootstraps the control group."},
       {"data_folder", type::kText, "", 0, 0,
        "Folder for replicated state. Control instances and stores."},
       {"consensus.election_timeout", type::kDuration, "450ms", 50,
@@ -99,7 +99,7 @@
       {"steps.retention", type::kDuration, "120s", 1000, 24 * kMillisPerHour,
        "How long a step's results can be read after its submission."},
       {"drain.grace", type::kDuration, "8s", 0, kMillisPerHour,
-       "Time from a stop signal to the end by force; the process is gone in "
+       "Time from a stop signal to the forced end; the process exits within "
        "seven eighths of it."},
       {"drain.notice", type::kDuration, "2500ms", 0, kMillisPerHour,
        "How long a planned stop reports \"not ready\" before connections are "
--- a/packages/settings/node_settings.h
+++ b/packages/settings/node_settings.h
@@ -1,8 +1,8 @@
 #ifndef HICKORYWOOD_SETTINGS_NODE_SETTINGS_H_
 #define HICKORYWOOD_SETTINGS_NODE_SETTINGS_H_
 
-// The settings of one process of a deployment that finds its own members: an
-// entry before the endpoints, a member of the control group, or a store.
+// The settings of one process in a deployment that discovers its members: an
+// entry (a proxy for callers), a member of the control group, or a store.
 
 #include <chrono>
 #include <cstdint>
@@ -25,7 +25,7 @@
   std::string readiness_address;  // entries
   std::string control_address;    // control instances
   std::string peers_address;
-  std::string metrics_address;     // empty: none served
+  std::string metrics_address;     // empty: no metrics are served
   std::vector<std::string> seeds;  // peer addresses of control instances
   bool is_first_start = false;
   std::string data_folder;
@@ -37,29 +37,31 @@
   std::chrono::milliseconds step_retention{0};
   std::chrono::milliseconds drain_grace{0};
   std::chrono::milliseconds drain_notice{0};
-  // Instances with a disk that may be lost at once.
+  // Number of instances with a disk that may be lost at the same time.
   int64_t tolerated_losses = 1;
-  int64_t memory_mb = 256;  // that the process may use
+  int64_t memory_mb = 256;  // memory limit of the process, MB
 
-  // Bytes of outputs of ended steps that a store keeps in memory; older ones
-  // are read from disk. A small share: they are asked for rarely, by readers
-  // that come late, while each store would hold two minutes of texts for them
-  // (a third of the memory in place of this cost 8 to 10 MB a store).
+  // Size of the outputs of ended steps that a store keeps in memory; older ones
+  // are read from disk. The share is small because these outputs are rarely
+  // read, only by late readers, while each store would otherwise keep two
+  // minutes of texts in memory for them. A third of the memory instead cost 8
+  // to 10 MB per store.
   size_t OutputBudget() const {
     constexpr size_t kShare = 64;
     return static_cast<size_t>(memory_mb) * 1024 * 1024 / kShare;
   }
 
-  // Replicas of a data group: a majority is left after the losses.
+  // Number of replicas of a data group: a majority remains after the tolerated
+  // losses.
   size_t DataVoters() const {
     return static_cast<size_t>(2 * tolerated_losses + 1);
   }
 };
 
-// Every setting of such a process, declared once.
+// The settings of such a process.
 const std::vector<setting_info>& NodeSchema();
 
-// Reads one file. Empty when there is any finding.
+// Reads one file. Returns nothing if there are findings.
 std::optional<node_settings> LoadNodeSettings(
     const std::string& file, std::vector<core::finding>& findings);
 
--- a/packages/settings/schema.cc
+++ b/packages/settings/schema.cc
@@ -128,7 +128,7 @@
        "Share of the endpoints that ejection never goes below."},
       {"routing.connect_timeout", type::kDuration, "500ms", 10,
        60 * kMillisPerSecond,
-       "Time within which a connection to an endpoint stands."},
+       "Time within which a connection to an endpoint is established."},
       {"claims.retention", type::kDuration, "24h", 60 * kMillisPerSecond,
        30 * kMillisPerDay,
        "How long the outcome of a non-idempotent call is remembered."},
--- a/packages/settings/schema.h
+++ b/packages/settings/schema.h
@@ -1,9 +1,9 @@
 #ifndef HICKORYWOOD_SETTINGS_SCHEMA_H_
 #define HICKORYWOOD_SETTINGS_SCHEMA_H_
 
-// Every setting is declared once, in a table: its path, type, unit, default and
-// range. The same table drives the checks, the defaults and the test that
-// docs/configuration.md is complete.
+// Every setting is declared once in a table: its path, type, unit, default and
+// range. The table is used for validation, for the defaults, and for the test
+// that docs/configuration.md is complete.
 
 #include <string>
 #include <vector>
@@ -21,13 +21,13 @@
   kTextList,
 };
 
-// One declared setting. In `path`, '*' stands for any name that the operator
-// chooses.
+// Declaration of one setting. In `path`, '*' stands for any name chosen by the
+// operator.
 struct setting_info {
   const char* path;
   value_type type;
   const char* default_text;  // nullptr: required
-  double minimum;            // for numbers; milliseconds for durations
+  double minimum;            // for numbers, and for durations in milliseconds
   double maximum;
   const char* meaning;
 };
@@ -35,10 +35,10 @@
 // The settings of one instance (`hickoryd --settings`).
 const std::vector<setting_info>& InstanceSchema();
 
-// The configuration of the fleet: the base file and the sites' overlays.
+// The configuration of the fleet: the base file and the overlays of the sites.
 const std::vector<setting_info>& FleetSchema();
 
-// The word for `type` in messages and in the documentation.
+// Name of `type` in messages and in the documentation.
 const char* TypeWord(value_type type);
 
 }  // namespace hickorywood::settings
--- a/packages/settings/yaml_document.cc
+++ b/packages/settings/yaml_document.cc
@@ -15,17 +15,18 @@
 namespace hickorywood::settings {
 namespace {
 
-constexpr size_t kLongestName = 64;
-constexpr size_t kDeepestNesting = 8;
+constexpr size_t kMaxNameLength = 64;
+constexpr size_t kMaxNestingDepth = 8;
 
 bool IsName(const std::string& text) {
-  if (text.empty() || text.size() > kLongestName) return false;
+  if (text.empty() || text.size() > kMaxNameLength) return false;
   return std::all_of(text.begin(), text.end(), [](unsigned char c) {
     return std::isalnum(c) != 0 || c == '-' || c == '_' || c == '.';
   });
 }
 
-// A name chosen by the operator must hold no dot, since dots part the path.
+// A key chosen by the operator must not contain a dot, since dots separate the
+// parts of a path.
 bool IsKeyName(const std::string& text) {
   return IsName(text) && text.find('.') == std::string::npos;
 }
@@ -44,7 +45,7 @@
 
 enum class path_match { kNone, kMap, kValue };
 
-// Compares a concrete path with a declared one, where '*' takes any name.
+// Compares a path with a declared path, in which '*' matches any name.
 path_match MatchPath(const std::vector<std::string>& declared,
                      const std::vector<std::string>& path) {
   if (path.size() > declared.size()) return path_match::kNone;
@@ -86,8 +87,8 @@
 
 bool IsIntegerText(const std::string& text) {
   const size_t start = !text.empty() && text[0] == '-' ? 1 : 0;
-  constexpr size_t kMostDigits = 18;
-  if (text.size() == start || text.size() - start > kMostDigits) return false;
+  constexpr size_t kMaxDigits = 18;
+  if (text.size() == start || text.size() - start > kMaxDigits) return false;
   return std::all_of(text.begin() + static_cast<std::ptrdiff_t>(start),
                      text.end(),
                      [](unsigned char c) { return std::isdigit(c) != 0; });
@@ -100,11 +101,11 @@
   const int count =
       std::sscanf(text.c_str(), "%3u.%3u.%3u.%3u:%5u%c", &parts[0], &parts[1],
                   &parts[2], &parts[3], &port, &rest);
-  constexpr unsigned kLargestByte = 255;
-  constexpr unsigned kLargestPort = 65535;
-  if (count != 5 || port > kLargestPort) return false;
+  constexpr unsigned kMaxByte = 255;
+  constexpr unsigned kMaxPort = 65535;
+  if (count != 5 || port > kMaxPort) return false;
   return std::all_of(std::begin(parts), std::end(parts),
-                     [](unsigned part) { return part <= kLargestByte; });
+                     [](unsigned part) { return part <= kMaxByte; });
 }
 
 std::string RangeText(const setting_info& info, const char* unit) {
@@ -114,7 +115,7 @@
   return text;
 }
 
-// The complaint about one scalar, or empty when it fits its declaration.
+// Returns the error text for one scalar; empty if it is valid.
 std::string CheckScalar(const setting_info& info, const std::string& text) {
   switch (info.type) {
     case value_type::kText:
@@ -154,10 +155,10 @@
   return "";
 }
 
-// Walks one document and gathers its values and findings.
-class document_walker {
+// Visits all nodes of a document and collects values and findings.
+class document_parser {
  public:
-  document_walker(std::string file, const std::vector<setting_info>& schema,
+  document_parser(std::string file, const std::vector<setting_info>& schema,
                   std::vector<core::finding>& findings)
       : file_(std::move(file)), schema_(schema), findings_(findings) {}
 
@@ -191,7 +192,7 @@
         continue;
       }
       if (!seen.insert(key).second) {
-        AddFinding(item.first.Mark(), "key '" + key + "' stands twice");
+        AddFinding(item.first.Mark(), "key '" + key + "' occurs twice");
         continue;
       }
       WalkItem(item.first, item.second,
@@ -206,7 +207,7 @@
       WalkValue(value, path, *info);
       return;
     }
-    if (depth >= kDeepestNesting || !IsKnownMap(schema_, path)) {
+    if (depth >= kMaxNestingDepth || !IsKnownMap(schema_, path)) {
       AddFinding(key.Mark(), "unknown key '" + path + "'");
       return;
     }
@@ -241,9 +242,9 @@
                    "'" + path + "': expected " + TypeWord(info.type));
         return;
       }
-      const std::string complaint = CheckScalar(info, value.Scalar());
-      if (!complaint.empty()) {
-        AddFinding(value.Mark(), "'" + path + "': " + complaint + ", got '" +
+      const std::string error_text = CheckScalar(info, value.Scalar());
+      if (!error_text.empty()) {
+        AddFinding(value.Mark(), "'" + path + "': " + error_text + ", got '" +
                                      value.Scalar() + "'");
         return;
       }
@@ -266,7 +267,7 @@
   // Aliases let a few hundred bytes stand for gigabytes; no setting needs them.
   try {
     const YAML::Node root = YAML::Load(text);
-    return document_walker(file, schema, findings).Walk(root);
+    return document_parser(file, schema, findings).Walk(root);
   } catch (const YAML::Exception& error) {
     findings.push_back(
         {file, error.mark.line + 1, error.mark.column + 1, error.msg});
@@ -323,11 +324,11 @@
   // Fractions are allowed, a sign and an exponent are not.
   const size_t digits = text.find_first_not_of("0123456789.");
   const std::string number = text.substr(0, digits);
-  constexpr size_t kMostDigits = 12;
+  constexpr size_t kMaxDigits = 12;
   double count = 0;
   const char* const end = number.data() + number.size();
   const auto [rest, error] = std::from_chars(number.data(), end, count);
-  if (number.empty() || number.size() > kMostDigits || error != std::errc() ||
+  if (number.empty() || number.size() > kMaxDigits || error != std::errc() ||
       rest != end) {
     return core::Fail(core::reason_code::kInvalid,
                       "no number in duration '" + text + "'");
--- a/packages/settings/yaml_document.h
+++ b/packages/settings/yaml_document.h
@@ -1,8 +1,8 @@
 #ifndef HICKORYWOOD_SETTINGS_YAML_DOCUMENT_H_
 #define HICKORYWOOD_SETTINGS_YAML_DOCUMENT_H_
 
-// YAML text checked against a schema. All findings of a document are collected,
-// each with its place.
+// Parses YAML text and validates it against a schema. All errors of a document
+// are collected, each with its location.
 
 #include <chrono>
 #include <cstdint>
@@ -17,47 +17,49 @@
 
 namespace hickorywood::settings {
 
-// One value of a document with the place where it stands.
+// One value of a document with its location.
 struct located_value {
-  std::vector<std::string> texts;  // one for scalars, any number for lists
+  std::vector<std::string> texts;  // one for a scalar, any number for a list
   std::string file;
   int line = 0;
   int column = 0;
 };
 
-// The values of one or several merged documents, by their dotted path.
+// The values of one or several merged documents, by dotted path.
 struct value_tree {
   std::map<std::string, located_value> values;
-  // The maps that the documents name, also empty ones: "pools.rigcoach".
+  // Paths of the maps in the documents, including empty ones: "pools.rigcoach".
   std::set<std::string> maps;
 };
 
-// Reads `text`. Wrong syntax, unknown and doubled keys, wrong types, bad units
-// and numbers out of range go to `findings`; what is right is returned all the
-// same, so that later checks can add theirs.
+// Parses `text`. Syntax errors, unknown and duplicate keys, wrong types,
+// invalid units and numbers out of range are added to `findings`. All valid
+// values are returned nevertheless, so that later checks can add their
+// findings.
 value_tree ParseDocument(const std::string& file, const std::string& text,
                          const std::vector<setting_info>& schema,
                          std::vector<core::finding>& findings);
 
-// Lays `upper` over `lower`: the values of `upper` win.
+// Merges both trees. Values of `upper` take precedence.
 value_tree Merge(const value_tree& lower, const value_tree& upper);
 
-// Adds a finding for each required setting that is missing in a map that
-// exists.
+// Adds a finding for each required setting that is missing in an existing map.
 void CheckRequired(const value_tree& tree,
                    const std::vector<setting_info>& schema,
                    const std::string& file,
                    std::vector<core::finding>& findings);
 
-// The names that '*' takes under `prefix`: for "pools" the names of the pools,
-// sorted.
+// Returns the names that '*' matches under `prefix`, sorted: for "pools" the
+// names of the pools.
 std::vector<std::string> ChildNames(const value_tree& tree,
                                     const std::string& prefix);
 
-// Parses "250ms", "2s", "5m", "1h". Empty with reason kInvalid otherwise.
+// Parses "250ms", "2s", "5m", "1h". Otherwise returns nothing, with reason
+// kInvalid.
 std::optional<std::chrono::milliseconds> ParseDuration(const std::string& text);
 
-// Typed reading of a checked tree. A missing value gives the schema's default.
+// Typed access to a validated tree. For a missing value the default of the
+// schema is returned.
 class tree_reader {
  public:
   tree_reader(const value_tree& tree, const std::vector<setting_info>& schema);
