--- a/tests/unit/consensus/file_storage_test.cc
+++ b/tests/unit/consensus/file_storage_test.cc
@@ -67,29 +67,29 @@
   }
 }
 
-// The process is killed in the middle of a write: the file ends inside the last
-// frame, at any byte. Nothing acknowledged was in it, so it is cut off and
-// reported.
-TEST_F(FileStorageTest, TornTailIsCutAtEveryByte) {
+// The process is killed during a write: the file ends inside the last frame, at
+// any byte. Nothing in the frame was acknowledged, so it is truncated and the
+// truncation is reported.
+TEST_F(FileStorageTest, IncompleteTailIsTruncatedAtEveryByte) {
   WriteThreeEntries();
-  const std::string whole = ReadLog();
+  const std::string complete = ReadLog();
   size_t two_entries = 0;
-  for (size_t size = whole.size() - 1; size > 0; --size) {
-    WriteLog(whole.substr(0, size));
+  for (size_t size = complete.size() - 1; size > 0; --size) {
+    WriteLog(complete.substr(0, size));
     file_storage storage(folder_);
     const auto state = storage.Load();
     if (!state) {
       break;
-    }  // inside the first frame, which a rename put there whole
+    }  // inside the first frame, which was created completely by a rename
     if (state->log.entries.size() == 2 && state->was_tail_cut) ++two_entries;
     EXPECT_LE(state->log.entries.size(), 2U);
   }
   EXPECT_GT(two_entries, 10U);
 }
 
-// A file that was made longer before the crash, with bytes that never arrived,
-// reads as zeros.
-TEST_F(FileStorageTest, UnwrittenTailIsCut) {
+// A file that was extended before the crash, while the data did not reach the
+// disk, reads as zeros.
+TEST_F(FileStorageTest, UnwrittenTailIsTruncated) {
   WriteThreeEntries();
   WriteLog(ReadLog() + std::string(2000, '\0'));
   file_storage storage(folder_);
@@ -99,13 +99,14 @@
   EXPECT_EQ(state->log.entries.size(), 3U);
 }
 
-// A flipped bit in any acknowledged frame, the last one included, must not pass
-// for a torn write: cutting it would forget a vote or an acknowledged entry.
-TEST_F(FileStorageTest, FlippedByteIsRefusedAnywhere) {
+// A flipped bit in any acknowledged frame, including the last one, must not be
+// treated as an incomplete write: truncating the frame would lose a vote or an
+// acknowledged entry.
+TEST_F(FileStorageTest, FlippedByteIsRejectedAnywhere) {
   WriteThreeEntries();
-  const std::string whole = ReadLog();
-  for (size_t i = 0; i < whole.size(); ++i) {
-    std::string damaged = whole;
+  const std::string complete = ReadLog();
+  for (size_t i = 0; i < complete.size(); ++i) {
+    std::string damaged = complete;
     damaged[i] = static_cast<char>(damaged[i] ^ 0x10);
     WriteLog(damaged);
     file_storage storage(folder_);
@@ -116,7 +117,7 @@
   }
 }
 
-TEST_F(FileStorageTest, MissingLogIsRefused) {
+TEST_F(FileStorageTest, MissingLogIsRejected) {
   WriteThreeEntries();
   std::filesystem::remove(folder_ + "/log");
   file_storage storage(folder_);
@@ -139,16 +140,16 @@
   EXPECT_TRUE(state->log.entries.empty());
 }
 
-TEST_F(FileStorageTest, SecondProcessOnTheFolderIsRefused) {
+TEST_F(FileStorageTest, SecondProcessOnTheFolderIsRejected) {
   file_storage first(folder_);
   ASSERT_TRUE(first.Load());
   file_storage second(folder_);
   EXPECT_FALSE(second.Load());
 }
 
-// The process is killed between the two files of a snapshot: a newer snapshot
-// stands beside the older log, whose entries it covers.
-TEST_F(FileStorageTest, NewerSnapshotBesideOlderLog) {
+// The process is killed between the two files of a snapshot: the new snapshot
+// exists together with the old log, whose entries it covers.
+TEST_F(FileStorageTest, NewSnapshotWithOldLog) {
   WriteThreeEntries();
   const std::string old_log = ReadLog();
   {
@@ -164,7 +165,7 @@
     ASSERT_TRUE(storage.WriteSnapshot(state->log, state->hard));
   }
   WriteLog(old_log);
-  // With the new log file, which takes the place of the old one, and without.
+  // With the new log file, which replaces the old one, and without it.
   for (const bool has_new_log : {true, false}) {
     if (!has_new_log) std::filesystem::remove(folder_ + "/log-1");
     file_storage storage(folder_);
@@ -175,9 +176,9 @@
   }
 }
 
-// A follower that is far behind asks for entries whose data its leader has left
-// on disk: it gets the bytes that were written, also after the leader's restart
-// and where an entry took the place of one that was never committed.
+// A follower that is far behind needs entries whose data is only on the
+// leader's disk. It must receive the data as written, also after a restart of
+// the leader and if an entry replaced one that was never committed.
 TEST_F(FileStorageTest, DataIsReadBackFromTheLog) {
   WriteThreeEntries();
   file_storage storage(folder_);
@@ -194,8 +195,8 @@
   EXPECT_FALSE(storage.ReadData(5));
 }
 
-// A snapshot starts a new log file. What it covers can't be read from the file
-// any more, so no entry without its data may stay in the log.
+// A snapshot starts a new log file. The entries that it covers can't be read
+// from the file any more, so no entry without its data may stay in the log.
 TEST_F(FileStorageTest, SnapshotDropsWhatIsOnlyInTheOldFile) {
   WriteThreeEntries();
   file_storage storage(folder_);
@@ -213,7 +214,7 @@
   EXPECT_FALSE(storage.ReadData(1));
 }
 
-// A log of several files: each entry fills a large part of one.
+// A log of several files; each entry fills a large part of a file.
 class LongLogTest : public FileStorageTest {
  protected:
   static std::string Data(uint64_t index, uint64_t term) {
@@ -235,7 +236,7 @@
       ASSERT_TRUE(storage.Write(OneEntry(index, 1)));
     }
   }
-  // Loads the folder, takes a snapshot at `index` and gives up what it covers.
+  // Loads the folder, creates a snapshot at `index` and removes what it covers.
   void CompactAt(uint64_t index) {
     file_storage storage(folder_);
     auto state = storage.Load();
@@ -266,8 +267,8 @@
   }
 }
 
-// A follower asks for entries that stand at the same offset of two files, one
-// after the other: the frame that was read last must not pass for the other.
+// Entries at the same offset of two files are read one after the other: the
+// cached frame of one must not be used for the other.
 TEST_F(LongLogTest, SameOffsetInTwoFilesIsNotTheSameEntry) {
   WriteEntries(8);
   file_storage storage(folder_);
@@ -277,8 +278,8 @@
   }
 }
 
-// A restart hands out what is known as committed while it reads, and holds the
-// data of nothing but the rest.
+// A restart passes the committed entries to the callback while it loads the
+// log, and keeps only the data of the other entries in memory.
 TEST_F(LongLogTest, CommittedEntriesAreReplayedWhileTheLogIsRead) {
   {
     file_storage storage(folder_);
@@ -305,10 +306,10 @@
   EXPECT_EQ(storage.ReadData(5), Data(5, 1));
 }
 
-// The snapshot covers the first file and a part of the second. The first one
-// goes; the rest is as it was, also if the removed name comes back after a loss
-// of power.
-TEST_F(LongLogTest, CoveredFilesAreGivenUp) {
+// The snapshot covers the first file and a part of the second. The first one is
+// deleted. The rest is unchanged, also if the deleted file exists again after a
+// power loss.
+TEST_F(LongLogTest, CoveredFilesAreDeleted) {
   WriteEntries(8);
   std::filesystem::copy_file(folder_ + "/log", folder_ + "/kept");
   CompactAt(4);
@@ -327,9 +328,9 @@
   }
 }
 
-// Files between are back after a loss of power, but not all of them: what is
-// before the gap had been given up.
-TEST_F(LongLogTest, FilesThatComeBackWithAGapDoNotCount) {
+// Some of the deleted files exist again after a power loss: the entries before
+// the gap had been removed and must be ignored.
+TEST_F(LongLogTest, RestoredFilesBeforeAGapAreIgnored) {
   WriteEntries(11);
   std::filesystem::copy_file(folder_ + "/log", folder_ + "/kept");
   CompactAt(8);
@@ -342,8 +343,9 @@
   EXPECT_EQ(LastIndex(state->log), 11U);
 }
 
-// Killed between the creation of the next file and its first write: the file is
-// empty, or its first frame is torn. Nothing acknowledged was in it.
+// The process is killed between the creation of the next file and its first
+// write: the file is empty, or its first frame is incomplete. Nothing in it was
+// acknowledged.
 TEST_F(LongLogTest, NextFileWithoutItsFirstWrite) {
   for (const std::string& content : {std::string(), std::string("torn")}) {
     std::filesystem::remove_all(folder_);
@@ -360,10 +362,10 @@
   }
 }
 
-// A new leader takes back entries that no quorum had, over the border of two
-// files. The older file is kept as long as the newer one counts, since without
-// it the log could not be read; then both go.
-TEST_F(LongLogTest, TruncationOverTheBorderOfTwoFiles) {
+// A new leader truncates entries without a quorum across the boundary of two
+// files. The older file is kept as long as the newer one is needed, since the
+// log could not be loaded without it; then both are deleted.
+TEST_F(LongLogTest, TruncationAcrossTheBoundaryOfTwoFiles) {
   WriteEntries(4);  // 1 to 3 in the first file, 4 in the second
   {
     file_storage storage(folder_);
@@ -395,8 +397,8 @@
   EXPECT_EQ(LastIndex(state->log), 7U);
 }
 
-// A snapshot of the leader takes the place of all files.
-TEST_F(LongLogTest, InstalledSnapshotTakesThePlaceOfAllFiles) {
+// A snapshot of the leader replaces all files.
+TEST_F(LongLogTest, InstalledSnapshotReplacesAllFiles) {
   WriteEntries(8);
   {
     file_storage storage(folder_);
@@ -418,8 +420,8 @@
   EXPECT_EQ(LastIndex(state->log), 21U);
 }
 
-// An entry whose data is on disk only counts with its size: otherwise a whole
-// day would go out as one message.
+// An entry whose data is only on disk counts with its size: otherwise a whole
+// day's entries would be sent as one message.
 TEST(RaftLogTest, EntriesOnDiskCountWithTheirSize) {
   raft_log log;
   for (uint64_t index = 1; index <= 4; ++index) {
--- a/tests/unit/consensus/group_health_test.cc
+++ b/tests/unit/consensus/group_health_test.cc
@@ -13,7 +13,7 @@
 
 using core::milliseconds;
 
-// A replica of a group of four, and the events that its log writes.
+// A replica of a group of four, and the events that it logs.
 class GroupHealthTest : public ::testing::Test {
  protected:
   GroupHealthTest() {
@@ -40,12 +40,13 @@
   }
   ~GroupHealthTest() override { core::SetEventObserver(nullptr); }
 
-  // Ticks each 100 ms for `time`; all but `silent` answer meanwhile.
-  void Pass(milliseconds time, const std::string& silent) {
+  // Ticks every 100 ms for `time`. All replicas but `unreachable` reply
+  // meanwhile.
+  void Pass(milliseconds time, const std::string& unreachable) {
     for (milliseconds passed{0}; passed < time; passed += milliseconds(100)) {
       now_ += milliseconds(100);
       for (auto& [who, progress] : state_.followers) {
-        if (who.node != silent) progress.confirmed_at = now_;
+        if (who.node != unreachable) progress.confirmed_at = now_;
       }
       health_.BeforeTick(state_, now_);
     }
@@ -57,10 +58,10 @@
   std::vector<std::string> lines_;
 };
 
-// What an operator reads before the loss that stops the group: three are heard
-// and three are needed. One line when the voter falls silent, one when it is
-// back, none in between.
-TEST_F(GroupHealthTest, SilentVoterIsToldOnce) {
+// An operator must see the state before the next loss stops the group: three
+// voters are reachable and three are needed. One line is logged when the voter
+// becomes unreachable and one when it is back, none in between.
+TEST_F(GroupHealthTest, UnreachableVoterIsLoggedOnce) {
   Pass(milliseconds(1900), "n2");
   EXPECT_TRUE(lines_.empty());
   Pass(milliseconds(60000), "n2");
@@ -70,9 +71,9 @@
   EXPECT_EQ(lines_[1], "2013  4 4 3 ");
 }
 
-// Two of four are left, and no election is won for a minute. The line names
-// those that are missing; it comes after 2 s and each 10 s.
-TEST_F(GroupHealthTest, GroupWithoutQuorumSaysWhoIsMissing) {
+// Two of four voters are left, and every election fails for a minute. The line
+// lists the missing voters; it is logged after 2 s and then every 10 s.
+TEST_F(GroupHealthTest, FailedElectionLogsMissingVoters) {
   state_.role = raft_role::kPreCandidate;
   state_.leader = member{};
   state_.votes = {state_.self, {"n1", "disk"}};
@@ -83,8 +84,8 @@
   EXPECT_EQ(lines_.back(), lines_.front());
 }
 
-// A split vote is won in the next round: nothing is logged.
-TEST_F(GroupHealthTest, ElectionThatIsWonSoonIsNoLine) {
+// A split vote is resolved in the next election: nothing is logged.
+TEST_F(GroupHealthTest, ElectionWonSoonIsNotLogged) {
   state_.role = raft_role::kCandidate;
   state_.leader = member{};
   state_.election_deadline = now_;
--- a/tests/unit/consensus/group_simulation.cc
+++ b/tests/unit/consensus/group_simulation.cc
@@ -11,7 +11,7 @@
 
 using core::milliseconds;
 
-constexpr size_t kMostMessages = 200;
+constexpr size_t kMaxMessages = 200;
 constexpr uint64_t kEntriesPerSnapshot = 12;
 
 std::string NodeName(size_t index) { return "n" + std::to_string(index); }
@@ -32,7 +32,7 @@
 }
 
 member group_simulation::IdentityOf(size_t index) const {
-  const int disk = lets_lost_disks_vote_ ? 1 : replicas_[index].disks;
+  const int disk = allows_votes_without_disk_ ? 1 : replicas_[index].disks;
   return {NodeName(index), "disk" + std::to_string(disk)};
 }
 
@@ -42,14 +42,16 @@
   item.state.options.wanted_voters = wanted_voters_;
   item.state.options.keep_entries = 3;
   item.state.options.snapshot_piece_bytes = 16;
-  if (drops_promise_) item.state.options.election_timeout = milliseconds(60);
+  if (is_promise_disabled_)
+    item.state.options.election_timeout = milliseconds(60);
   item.state.self = IdentityOf(index);
   item.state.hard = item.disk_hard;
   item.state.log = item.disk_log;
   item.state.random.seed(random_());
   StartReplica(item.state, clock_.Now(), clock_.Now());
-  // An empty replica also keeps silent because it knows no group yet.
-  if (lets_lost_disks_vote_) item.state.group = "group";
+  // An empty replica also does not vote because it has no group id yet, so the
+  // id is set here.
+  if (allows_votes_without_disk_) item.state.group = "group";
   item.is_up = true;
   item.is_frozen = false;
   item.crash_at = crash_point::kNone;
@@ -84,9 +86,9 @@
 }
 
 bool group_simulation::HasCurrentDisks(const group_members& members,
-                                       size_t besides) const {
+                                       size_t excluded) const {
   for (size_t i = 0; i < replicas_.size(); ++i) {
-    if (i == besides) continue;
+    if (i == excluded) continue;
     for (const member& voter : members.voters) {
       if (voter.node == NodeName(i) && voter != IdentityOf(i)) return false;
     }
@@ -95,25 +97,26 @@
 }
 
 // One disk may be lost at a time: the next one only after the group has
-// readmitted the last one.
+// readmitted the replica that lost the previous one.
 bool group_simulation::MayLoseDisk(size_t index) const {
   const group_members members = CommittedMembers();
   return members.voters.size() >= 3 && HasCurrentDisks(members, index);
 }
 
-// The members as each replica knows them, committed or not, and the learners
-// that a leader may bring into the vote in its next tick: it does not know yet
-// that their disk is gone.
-bool group_simulation::HasCurrentDisksEverywhere(size_t besides) const {
+// Considers the members in each replica's log, committed or not, and the
+// learners that a leader may promote in its next tick because it has not
+// detected the loss of their disk yet.
+bool group_simulation::HasCurrentDisksEverywhere(size_t excluded) const {
   return std::all_of(
-      replicas_.begin(), replicas_.end(), [this, besides](const replica& item) {
+      replicas_.begin(), replicas_.end(),
+      [this, excluded](const replica& item) {
         group_members members = ActiveMembers(item.disk_log);
         for (const auto& [who, progress] : item.state.followers) {
           const bool is_live = clock_.Now() - progress.confirmed_at <
                                item.state.options.election_timeout;
           if (is_live) members.voters.push_back(who);
         }
-        return HasCurrentDisks(members, besides);
+        return HasCurrentDisks(members, excluded);
       });
 }
 
@@ -137,7 +140,7 @@
   const replica& item = replicas_[index];
   if (!NeedsToJoin(item.state, clock_.Now())) return;
   for (const replica& other : replicas_) {
-    if (&other == &item || network_.size() >= kMostMessages) continue;
+    if (&other == &item || network_.size() >= kMaxMessages) continue;
     message join;
     join.kind = message_kind::kJoin;
     join.group = item.state.group;
@@ -199,9 +202,9 @@
     Crash(index);
     return;
   }
-  for (const log_entry& entry : out.committed) NoteCommitted(entry);
+  for (const log_entry& entry : out.committed) RecordCommitted(entry);
   for (message& output : out.messages) {
-    if (network_.size() < kMostMessages) network_.push_back(std::move(output));
+    if (network_.size() < kMaxMessages) network_.push_back(std::move(output));
   }
   if (item.state.delivered_index >=
       item.state.log.snap.index + kEntriesPerSnapshot) {
@@ -212,7 +215,7 @@
   Check();
 }
 
-void group_simulation::NoteCommitted(const log_entry& entry) {
+void group_simulation::RecordCommitted(const log_entry& entry) {
   const auto [found, is_new] = committed_.try_emplace(entry.index, entry);
   if (is_new) return;
   if (found->second.term != entry.term || found->second.data != entry.data) {
@@ -238,8 +241,8 @@
         Fail("two leaders in term " + std::to_string(item.state.hard.term));
       }
     }
-    // A frozen replica counts too: it would believe in itself the moment it
-    // wakes up.
+    // A frozen replica is included: it would act as leader as soon as it
+    // resumes.
     if (!IsServingLeader(item.state, clock_.Now())) continue;
     if (!serving.empty()) {
       Fail(serving + " and " + name + " serve as leaders at the same time");
@@ -285,7 +288,7 @@
   }
 }
 
-void group_simulation::LoseHandOver(size_t index) {
+void group_simulation::LoseTransferMessage(size_t index) {
   raft_output lost;
   HandOver(replicas_[index].state, clock_.Now(), lost);
 }
@@ -314,7 +317,7 @@
   } else if (kind < 20) {
     ProposeSomewhere();
   } else if (kind == 20) {
-    Deliver(argument, true);  // and again later
+    Deliver(argument, true);  // the message is delivered again later
   } else if (kind == 21) {
     if (!network_.empty()) {
       network_.erase(network_.begin() +
@@ -334,7 +337,7 @@
   } else if (kind == 28) {
     if (MayLoseDisk(index)) LoseDisk(index);
   } else if (kind == 29) {
-    // Time for an election or a repair.
+    // Enough time for an election or a repair.
     for (int i = 0; i < 20; ++i) {
       Advance(milliseconds(40));
       for (int j = 0; j < 12; ++j) Deliver(0, false);
--- a/tests/unit/consensus/group_test.cc
+++ b/tests/unit/consensus/group_test.cc
@@ -16,26 +16,27 @@
 
 constexpr int kActions = 600;
 
-// What an operator would see: two instances acting as leaders, or an accepted
-// change gone. The schedule crashes replicas around their syncs, cuts and
-// freezes them, loses disks one at a time and the next one right after the
-// repair. Leases, durable votes and storage ids must prevent both.
+// Guards against two instances that act as leaders, and against the loss of an
+// accepted change. The schedule crashes replicas before and after their syncs,
+// disconnects and freezes them, and loses disks one at a time, the next one
+// right after the repair. Leases, durable votes and storage ids must prevent
+// both failures.
 void CheckSchedule(size_t replicas, size_t wanted_voters = 0) {
   const auto seed = *rc::gen::arbitrary<uint64_t>();
   const auto schedule = *rc::gen::container<std::vector<uint32_t>>(
       kActions, rc::gen::inRange<uint32_t>(0, 1U << 20U));
   group_simulation group(replicas, seed, wanted_voters);
-  // Most schedules should start from a whole group.
+  // Most schedules should start from a complete group.
   for (int i = 0; i < 30; ++i) group.Act(29);
   for (const uint32_t choice : schedule) {
     group.Act(choice);
     if (!group.Violation().empty()) RC_FAIL(group.Violation());
   }
   RC_TAG(group.DisksLost() > 0 ? "disks lost" : "no disk lost");
-  const bool goes_on = group.HealsAndCommits();
+  const bool makes_progress = group.HealsAndCommits();
   RC_ASSERT(group.Violation().empty());
-  RC_TAG(goes_on ? "goes on" : "stands still");
-  RC_ASSERT(goes_on || group.HasLostTwoDisks());
+  RC_TAG(makes_progress ? "makes progress" : "makes no progress");
+  RC_ASSERT(makes_progress || group.HasLostTwoDisks());
 }
 
 RC_GTEST_PROP(GroupTest, ThreeReplicasKeepTheirPromises, ()) {
@@ -46,28 +47,29 @@
   CheckSchedule(5);
 }
 
-// Three voters and one instance that waits to take the place of a lost one.
+// Three voters and one instance that waits to replace a lost one.
 RC_GTEST_PROP(GroupTest, ThreeOfFourReplicasKeepTheirPromises, ()) {
   CheckSchedule(4, 3);
 }
 
-// Five voters are wanted and four are there: a silent one may stop counting and
-// come back.
+// The target is five voters and there are four: an unreachable voter may be
+// removed and return later.
 RC_GTEST_PROP(GroupTest, FourReplicasWithAFreePlaceKeepTheirPromises, ()) {
   CheckSchedule(4, 5);
 }
 
-// A voter falls silent for good. The instance that waits takes its place, so
-// that the next loss is borne too; when the silent one is back it waits itself.
+// A voter becomes permanently unreachable. The waiting instance replaces it, so
+// that the group tolerates the next loss. When the old voter returns, it waits
+// as well.
 TEST(GroupTest, SilentVoterIsReplaced) {
   group_simulation group(4, 21, 3);
   for (size_t i = 0; i < 4; ++i) group.Start(i);
   group.Settle(milliseconds(8000));
   const std::vector<std::string> before = group.Voters();
   ASSERT_EQ(before.size(), 3U);
-  size_t victim = group.Leader();
-  ASSERT_LT(victim, 4U);
-  group.Crash(victim);
+  size_t replaced = group.Leader();
+  ASSERT_LT(replaced, 4U);
+  group.Crash(replaced);
   for (int i = 0; i < 20; ++i) {
     group.ProposeSomewhere();
     group.Settle(milliseconds(500));
@@ -75,16 +77,16 @@
   const std::vector<std::string> after = group.Voters();
   EXPECT_EQ(after.size(), 3U);
   EXPECT_NE(after, before);
-  group.Start(victim);
+  group.Start(replaced);
   group.Settle(milliseconds(5000));
   EXPECT_EQ(group.Voters(), after);
   EXPECT_EQ(group.Violation(), "");
   EXPECT_TRUE(group.HealsAndCommits());
 }
 
-// One voter is only silent for a while when another one loses its disk, while
-// the instance that waits is taking the place of the silent one. One disk is
-// lost, so once all are back the group must go on with all that was accepted.
+// One voter is temporarily unreachable, and another voter loses its disk while
+// the waiting instance replaces the first one. Only one disk is lost, so the
+// group must continue with all accepted entries once all instances are back.
 TEST(GroupTest, DiskLostWhileASilentVoterIsReplaced) {
   for (int step = 0; step < 60; ++step) {
     group_simulation group(4, 23, 3);
@@ -100,7 +102,7 @@
     group.ProposeSomewhere();
     group.Settle(milliseconds(200));
     group.Crash(others[0]);
-    // Up to the end of the replacement, a little later each time.
+    // Up to the end of the replacement, a little later in each step.
     group.Settle(milliseconds(1900 + 5 * step));
     group.LoseDisk(others[1]);
     group.Start(others[0]);
@@ -110,21 +112,22 @@
   }
 }
 
-// Seen: steps that were accepted and ended could not be read at the end of the
-// day, and no configuration was accepted for 109 s. An instance was gone for
-// good and another one, at another address, was admitted in its place; then a
-// third one lost its disk. The group wanted five voters and had four, so the
-// one that was gone went on counting: two of four were left, for good. The
-// voter lists and the leader's last line showed it.
+// Guards against a group that loses its quorum forever. It was observed as
+// accepted steps that could not be read at the end of the day, and no accepted
+// configuration for 109 s. One instance had terminated for good, another one
+// with another address had been admitted in its place, and then a third one
+// lost its disk. The group had a target of five voters and had four, so the
+// terminated voter still counted, and only two of four voters were left. The
+// voter lists and the last log line of the leader showed this.
 TEST(GroupTest, VoterThatIsGoneStopsCountingInAGroupWithFreePlaces) {
-  for (size_t gone = 0; gone < 3; ++gone) {
+  for (size_t removed = 0; removed < 3; ++removed) {
     for (size_t wiped = 0; wiped < 4; ++wiped) {
-      if (wiped == gone) continue;
+      if (wiped == removed) continue;
       group_simulation group(4, 27, 5);
       group.Crash(3);
       group.Settle(milliseconds(8000));
       ASSERT_EQ(group.Voters().size(), 3U);
-      group.Crash(gone);
+      group.Crash(removed);
       group.Settle(milliseconds(1000));
       group.Start(3);
       group.Settle(milliseconds(10000));
@@ -135,16 +138,18 @@
       group.Settle(milliseconds(8000));
       group.ProposeSomewhere();
       group.Settle(milliseconds(1000));
-      EXPECT_LT(group.Leader(), 4U) << gone << " gone, " << wiped << " wiped";
-      EXPECT_GT(group.Committed(), before) << gone << ", " << wiped;
+      EXPECT_LT(group.Leader(), 4U)
+          << removed << " removed, " << wiped << " wiped";
+      EXPECT_GT(group.Committed(), before) << removed << ", " << wiped;
       EXPECT_EQ(group.Violation(), "");
     }
   }
 }
 
-// One of four voters is only silent for a while, and at any moment of that one
-// other disk is lost. Whether the silent one still votes then or not: once all
-// are back the group goes on with all that was accepted.
+// One of four voters is temporarily unreachable, and during that time one other
+// disk is lost, at a different moment in each step. Whether the unreachable
+// voter has been removed by then or not: once all instances are back the group
+// must continue with all accepted entries.
 TEST(GroupTest, DiskLostWhileASilentVoterStopsCounting) {
   for (int step = 0; step < 60; ++step) {
     group_simulation group(4, 28, 5);
@@ -154,33 +159,34 @@
     ASSERT_LT(leader, 4U);
     group.ProposeSomewhere();
     group.Settle(milliseconds(200));
-    const size_t silent = (leader + 1) % 4;
+    const size_t unreachable = (leader + 1) % 4;
     const size_t wiped = (leader + 2 + static_cast<size_t>(step) % 3) % 4;
-    if (wiped == silent) continue;
-    group.Crash(silent);
+    if (wiped == unreachable) continue;
+    group.Crash(unreachable);
     group.Settle(milliseconds(1900 + 5 * step));
     group.LoseDisk(wiped);
-    group.Start(silent);
+    group.Start(unreachable);
     group.Start(wiped);
     EXPECT_TRUE(group.HealsAndCommits()) << step;
     EXPECT_EQ(group.Violation(), "") << step;
   }
 }
 
-// A voter is silent for some seconds, frozen or restarted, and stops counting.
-// Nobody tells it, and its own log still lists it; back with its disk it must
-// vote again, or each pause costs the group a voter for good.
+// A voter is frozen or down for some seconds and is removed from the voters. It
+// doesn't receive the entry that removes it, so its own log still lists it.
+// When it returns with its disk it must become a voter again; otherwise each
+// pause would cost the group one voter.
 TEST(GroupTest, DroppedVoterThatIsBackVotesAgain) {
   for (const size_t wanted : {size_t{0}, size_t{5}}) {
     for (const bool is_restart : {false, true}) {
       group_simulation group(4, 28, wanted);
       group.Settle(milliseconds(8000));
-      const size_t silent = (group.Leader() + 1) % 4;
-      if (is_restart) group.Crash(silent);
-      if (!is_restart) group.SetFrozen(silent, true);
+      const size_t unreachable = (group.Leader() + 1) % 4;
+      if (is_restart) group.Crash(unreachable);
+      if (!is_restart) group.SetFrozen(unreachable, true);
       group.Settle(milliseconds(5000));
-      if (is_restart) group.Start(silent);
-      if (!is_restart) group.SetFrozen(silent, false);
+      if (is_restart) group.Start(unreachable);
+      if (!is_restart) group.SetFrozen(unreachable, false);
       group.Settle(milliseconds(20000));
       EXPECT_EQ(group.Voters().size(), 4U) << wanted << is_restart;
       EXPECT_EQ(group.Violation(), "");
@@ -188,8 +194,9 @@
   }
 }
 
-// Four of five wanted voters are there and one pauses; the fifth instance
-// joins. A minute later two instances go for good, which five voters bear.
+// Four of five voters are running and one of them pauses; then the fifth
+// instance joins. A minute later two instances terminate for good, which five
+// voters tolerate.
 TEST(GroupTest, FiveVotersBearTwoLossesAfterAPauseAtFour) {
   group_simulation group(5, 31, 5);
   group.Crash(4);
@@ -215,9 +222,10 @@
   EXPECT_EQ(group.Violation(), "");
 }
 
-// Two of five instances go for good, one after the other, and nobody takes
-// their place. A minute later one of the other three loses its disk. One loss
-// at a time is borne: the two that are gone no longer count.
+// Two of five instances terminate for good, one after the other, and are not
+// replaced. A minute later one of the other three loses its disk. The group
+// tolerates one loss at a time, because the two terminated voters no longer
+// count.
 TEST(GroupTest, TwoThatAreGoneStopCountingInAGroupOfFive) {
   group_simulation group(5, 32, 5);
   group.Settle(milliseconds(8000));
@@ -236,8 +244,9 @@
   EXPECT_EQ(group.Violation(), "");
 }
 
-// One silent voter of an odd group may be back: three that became two would
-// bear no loss, and five that became four one instead of two.
+// The only unreachable voter of an odd group may return, so it must not be
+// removed: a group of three reduced to two would tolerate no loss, and a group
+// of five reduced to four only one instead of two.
 TEST(GroupTest, OddGroupKeepsAVoterThatIsSilent) {
   for (const size_t voters : {size_t{3}, size_t{5}}) {
     group_simulation group(voters, 33, 5);
@@ -249,31 +258,31 @@
   }
 }
 
-// Seven instances, three voters wanted. One more gets the entries, so that it
-// can take the next free place at once; the others wait without. They are not
-// taken in together when a place is free either: each would have to be sent the
-// whole log.
+// Seven instances with a target of three voters. One further instance receives
+// the log, so that it can replace a voter at once; the others wait without the
+// log. They must not all be admitted at once when a voter is missing, since
+// each would receive the whole log.
 TEST(GroupTest, FewInstancesThatWaitGetTheEntries) {
   group_simulation group(7, 25, 3);
   group.Settle(milliseconds(8000));
   EXPECT_EQ(group.Voters().size(), 3U);
   EXPECT_EQ(group.Learners(), 1U);
   const std::vector<std::string> before = group.Voters();
-  const size_t victim = std::stoul(before[0].substr(1));
-  group.Crash(victim);
+  const size_t replaced = std::stoul(before[0].substr(1));
+  group.Crash(replaced);
   for (int i = 0; i < 80; ++i) {
     group.Settle(milliseconds(100));
     EXPECT_LE(group.Learners(), 2U);
   }
   EXPECT_EQ(group.Voters().size(), 3U);
   EXPECT_NE(group.Voters(), before);
-  group.Start(victim);
+  group.Start(replaced);
   EXPECT_TRUE(group.HealsAndCommits());
   EXPECT_EQ(group.Violation(), "");
 }
 
-// The spare instance falls silent: another one that waits gets its place, and
-// is there when a voter is lost next.
+// The spare instance becomes unreachable: another waiting instance replaces it
+// and is available when a voter is lost.
 TEST(GroupTest, SilentSpareInstanceGivesWay) {
   group_simulation group(6, 26, 3);
   group.Settle(milliseconds(8000));
@@ -284,8 +293,8 @@
   EXPECT_NE(group.LearnerNames().at(0), spare);
 }
 
-// A store is to be emptied: the one that waits becomes a voter in its place,
-// and the emptied one is not taken in again.
+// A store is being drained: the waiting instance replaces it as a voter, and
+// the drained store is not admitted again.
 TEST(GroupTest, LeavingVoterIsReplaced) {
   group_simulation group(4, 22, 3);
   for (size_t i = 0; i < 4; ++i) group.Start(i);
@@ -304,26 +313,27 @@
   EXPECT_EQ(group.Violation(), "");
 }
 
-// What an operator would see: a group with all its replicas that accepts
-// nothing for good. A leader gave its lease up for a successor, the message was
-// lost, and the leader's heartbeats kept the others from an election. It must
-// step down when no successor shows up.
+// Guards against a group that has all its replicas but accepts nothing any
+// more. A leader released its lease for a successor, the message to the
+// successor was lost, and the leader's heartbeats prevented an election. The
+// leader must step down if no successor takes over.
 TEST(GroupTest, LostHandOverDoesNotStopTheGroup) {
   group_simulation group(3, 24);
   group.Settle(milliseconds(8000));
   const size_t leader = group.Leader();
   ASSERT_LT(leader, 3U);
-  group.LoseHandOver(leader);
+  group.LoseTransferMessage(leader);
   EXPECT_TRUE(group.HealsAndCommits());
   EXPECT_EQ(group.Violation(), "");
 }
 
-// A leader freezes and wakes up with its lease still running; meanwhile the
-// others may have elected another one. Returns what the checks found.
+// A leader freezes and resumes while its lease is still valid; meanwhile the
+// others may have elected another leader. Returns the violation that was
+// detected.
 std::string FreezeLeader(bool with_promise) {
   group_simulation group(3, 11);
-  if (!with_promise) group.DropPromiseToLeader();
-  for (size_t i = 0; i < 3; ++i) group.Start(i);  // takes up the options
+  if (!with_promise) group.DisableLeaderPromise();
+  for (size_t i = 0; i < 3; ++i) group.Start(i);  // apply the options
   group.Settle(milliseconds(5000));
   const size_t leader = group.Leader();
   if (leader == 3) return "no leader";
@@ -332,20 +342,20 @@
   return group.Violation();
 }
 
-// What the caller would see: two instances that both act as leader. The voters'
-// promise lasts longer than the lease, so the frozen leader's lease is over
-// when another one is elected.
+// Guards against two instances that both act as leader. The voters' promise
+// lasts longer than the lease, so the lease of the frozen leader has expired
+// when another leader is elected.
 TEST(GroupTest, FrozenLeaderAndItsSuccessorNeverServeTogether) {
   EXPECT_EQ(FreezeLeader(true), "");
   EXPECT_NE(FreezeLeader(false),
-            "");  // without the promise the check must notice
+            "");  // without the promise the violation must be detected
 }
 
-// A follower with the latest entries loses its disk while the third replica is
-// behind and the leader goes down. Returns what the checks found.
+// An up-to-date follower loses its disk while the third replica is behind and
+// the leader crashes. Returns the violation that was detected.
 std::string LoseDiskOfUpToDateFollower(bool with_storage_ids) {
   group_simulation group(3, 12);
-  if (!with_storage_ids) group.LetLostDisksVote();
+  if (!with_storage_ids) group.AllowVotesWithoutDisk();
   for (size_t i = 0; i < 3; ++i) group.Start(i);
   group.Settle(milliseconds(8000));
   const size_t leader = group.Leader();
@@ -368,38 +378,39 @@
   return group.Violation();
 }
 
-// What the operator would see: an accepted change gone. The empty replica would
-// vote for the one that is behind; under its new storage id its vote does not
+// Guards against the loss of an accepted change. The empty replica would vote
+// for the replica that is behind; with its new storage id its vote does not
 // count.
 TEST(GroupTest, LostDiskDoesNotElectAReplicaThatIsBehind) {
   EXPECT_EQ(LoseDiskOfUpToDateFollower(true), "");
   EXPECT_NE(LoseDiskOfUpToDateFollower(false),
-            "");  // with the old identity the check must notice
+            "");  // with the old identity the violation must be detected
 }
 
 // One disk is lost and repaired, and right after the repair another one is
-// lost: nothing accepted may be missing, since the readmitted replica counted
-// only once its copy was durable.
+// lost. No accepted entry may be missing, since the readmitted replica is only
+// counted once its log is durable.
 TEST(GroupTest, SecondDiskLostRightAfterARepair) {
   group_simulation group(3, 13);
   group.Settle(milliseconds(8000));
   for (int round = 0; round < 6; ++round) {
     group.ProposeSomewhere();
     group.Settle(milliseconds(300));
-    const size_t victim = (group.Leader() + 1 + static_cast<size_t>(round)) % 3;
-    group.LoseDisk(victim);
-    group.Start(victim);
+    const size_t wiped = (group.Leader() + 1 + static_cast<size_t>(round)) % 3;
+    group.LoseDisk(wiped);
+    group.Start(wiped);
     group.Settle(milliseconds(3000));
   }
   EXPECT_EQ(group.Violation(), "");
   EXPECT_TRUE(group.HealsAndCommits());
 }
 
-// A store is killed and reads a long log at its start. What it promised to the
-// leader before ends one election timeout after it was started, since it has
-// promised nothing while it read; so a group that was killed as a whole is not
-// without a leader for both times, one after the other. The draw of the
-// deadline stays: replicas that read as long must not all stand at once.
+// A killed store loads a long log when it starts. A promise that it gave the
+// leader before ends one election timeout after the start, since it gave no
+// promise while loading. So a group that was killed completely doesn't have to
+// wait for the loading and the timeout one after the other. The deadline is
+// still randomized: replicas that loaded equally long must not all start an
+// election at the same time.
 TEST(RaftStartTest, LoadingCountsTowardsThePromise) {
   const core::time_point started{std::chrono::seconds(100)};
   raft_state state;
