--- a/tests/unit/control/orders_test.cc
+++ b/tests/unit/control/orders_test.cc
@@ -21,53 +21,53 @@
   return engines;
 }
 
-order_book Book() {
-  order_book book;
-  StartOrderBook(book, 3, kStart);
-  return book;
+order_book MakeTracker() {
+  order_book tracker;
+  StartOrderBook(tracker, 3, kStart);
+  return tracker;
 }
 
-TEST(OrdersTest, WaveKeepsTheFloor) {
-  order_book book = Book();
-  const auto plan = PlanOrders(book, Engines(10, 1), {{"p", {2, 0.7}}}, kFast,
-                               kStart + milliseconds(100));
+TEST(OrdersTest, PlanKeepsTheFloor) {
+  order_book tracker = MakeTracker();
+  const auto plan = PlanOrders(tracker, Engines(10, 1), {{"p", {2, 0.7}}},
+                               kFast, kStart + milliseconds(100));
   EXPECT_EQ(plan.size(), 3U);
-  EXPECT_TRUE(PlanOrders(book, Engines(10, 1), {{"p", {2, 0.7}}}, kFast,
+  EXPECT_TRUE(PlanOrders(tracker, Engines(10, 1), {{"p", {2, 0.7}}}, kFast,
                          kStart + milliseconds(200))
                   .empty());
 }
 
-TEST(OrdersTest, FloorOfEverythingStillLetsOneThrough) {
-  order_book book = Book();
-  EXPECT_EQ(PlanOrders(book, Engines(4, 1), {{"p", {2, 1.0}}}, kFast,
+TEST(OrdersTest, FloorOfOneStillAllowsOneEngine) {
+  order_book tracker = MakeTracker();
+  EXPECT_EQ(PlanOrders(tracker, Engines(4, 1), {{"p", {2, 1.0}}}, kFast,
                        kStart + milliseconds(100))
                 .size(),
             1U);
 }
 
 TEST(OrdersTest, RateLimitOfTheWeightStore) {
-  order_book book = Book();
+  order_book tracker = MakeTracker();
   const order_limits slow{2, milliseconds(10000)};
   EXPECT_EQ(
-      PlanOrders(book, Engines(20, 1), {{"p", {2, 0}}}, slow, kStart).size(),
+      PlanOrders(tracker, Engines(20, 1), {{"p", {2, 0}}}, slow, kStart).size(),
       1U);
-  EXPECT_EQ(PlanOrders(book, Engines(20, 1), {{"p", {2, 0}}}, slow,
+  EXPECT_EQ(PlanOrders(tracker, Engines(20, 1), {{"p", {2, 0}}}, slow,
                        kStart + milliseconds(1000))
                 .size(),
             2U);
 }
 
-// A swap failed partway: the engine reports the old version again. Once the
-// order's time is over it is given anew, with a higher fencing number.
-TEST(OrdersTest, LostOrderIsGivenAgain) {
-  order_book book = Book();
-  const auto first = PlanOrders(book, Engines(1, 1), {{"p", {2, 0}}}, kFast,
+// A swap failed and the engine still reports the old version. After the timeout
+// the order is sent again, with a higher fencing number.
+TEST(OrdersTest, LostOrderIsSentAgain) {
+  order_book tracker = MakeTracker();
+  const auto first = PlanOrders(tracker, Engines(1, 1), {{"p", {2, 0}}}, kFast,
                                 kStart + milliseconds(10));
   ASSERT_EQ(first.size(), 1U);
-  EXPECT_TRUE(PlanOrders(book, Engines(1, 1), {{"p", {2, 0}}}, kFast,
+  EXPECT_TRUE(PlanOrders(tracker, Engines(1, 1), {{"p", {2, 0}}}, kFast,
                          kStart + milliseconds(9000))
                   .empty());
-  const auto second = PlanOrders(book, Engines(1, 1), {{"p", {2, 0}}}, kFast,
+  const auto second = PlanOrders(tracker, Engines(1, 1), {{"p", {2, 0}}}, kFast,
                                  kStart + milliseconds(10100));
   ASSERT_EQ(second.size(), 1U);
   EXPECT_GT(second[0].fence, first[0].fence);
@@ -77,9 +77,9 @@
   EXPECT_GT(FencingNumber(4, 0), FencingNumber(3, 4000000000ULL));
 }
 
-TEST(OrdersTest, EnginesThatAreUpToDateGetNothing) {
-  order_book book = Book();
-  EXPECT_TRUE(PlanOrders(book, Engines(5, 2), {{"p", {2, 0}}}, kFast,
+TEST(OrdersTest, UpToDateEnginesGetNoOrder) {
+  order_book tracker = MakeTracker();
+  EXPECT_TRUE(PlanOrders(tracker, Engines(5, 2), {{"p", {2, 0}}}, kFast,
                          kStart + milliseconds(10))
                   .empty());
 }
--- a/tests/unit/control/replica_test.cc
+++ b/tests/unit/control/replica_test.cc
@@ -1,5 +1,4 @@
-// The replica with mocks at its interfaces: storage and the links to other
-// replicas.
+// Tests the replica with mocks of its interfaces: storage and message sender.
 
 #include "control/replica.h"
 
@@ -77,8 +76,9 @@
   bool has_failed_ = false;
 };
 
-// Guards against a state that can't be read and counts as an empty one: the
-// instance would say that there are no steps, no claims and no configuration.
+// Guards against treating a state that can't be read as an empty one: the
+// instance would report that there are no steps, no claims and no
+// configuration.
 TEST_F(ReplicaTest, SnapshotThatCannotBeReadIsNoEmptyState) {
   consensus::stored_state damaged;
   damaged.storage_id = "disk";
@@ -89,9 +89,9 @@
   EXPECT_TRUE(has_failed_);
 }
 
-// Many proposals of one burst are made durable with one sync, and answered
-// after it.
-TEST_F(ReplicaTest, BurstIsOneWrite) {
+// Many proposals of one batch are made durable with one sync, and their
+// callbacks are called after it.
+TEST_F(ReplicaTest, BatchIsOneWrite) {
   Lead();
   int answered = 0;
   EXPECT_CALL(storage_, Write(_))
@@ -110,8 +110,8 @@
   EXPECT_EQ(answered, 50);
 }
 
-// The disk is full: the write fails. Nobody is told "done", and the process is
-// asked to end, since what is on disk is not known any more.
+// The disk is full and the write fails. No proposal may be reported as done,
+// and the process must exit, because the state on disk is undefined.
 TEST_F(ReplicaTest, FailedWriteAnswersNobody) {
   Lead();
   EXPECT_CALL(storage_, Write(_)).WillOnce(Return(false));
@@ -130,22 +130,23 @@
   EXPECT_FALSE(replica_->Bootstrap("another"));
 }
 
-// An instance asks for its lease with an old view: it gets the new one at once;
-// with the current view the answer waits for a change.
+// An instance that renews its lease with an old view receives the new view at
+// once. With the current view the reply is delayed until a change.
 TEST_F(ReplicaTest, ViewIsSentWhenItChanges) {
   Lead();
   view_reply last;
   int replies = 0;
-  const auto take = [&](const view_reply& reply) {
+  const auto record_reply = [&](const view_reply& reply) {
     last = reply;
     ++replies;
   };
-  replica_->RenewView({"e1", "boot", "north", 0, 0, false, true}, take);
+  replica_->RenewView({"e1", "boot", "north", 0, 0, false, true}, record_reply);
   replica_->Flush();
   ASSERT_EQ(replies, 1);
   ASSERT_TRUE(last.is_granted);
   replica_->RenewView(
-      {"e1", "boot", "north", last.view.version, 0, false, false}, take);
+      {"e1", "boot", "north", last.view.version, 0, false, false},
+      record_reply);
   replica_->Flush();
   const int before = replies;
   replica_->Propose(Publish(7), [](const proposal_answer& /*answer*/) {});
--- a/tests/unit/control/state_machine_test.cc
+++ b/tests/unit/control/state_machine_test.cc
@@ -63,7 +63,7 @@
   return input;
 }
 
-TEST(StateMachineTest, EqualNumbersGiveOneWinner) {
+TEST(StateMachineTest, SameBaseRevisionHasOneWinner) {
   control_state state;
   EXPECT_EQ(Apply(state, Submit("one", 0, "a")).outcome,
             command_outcome::kAccepted);
@@ -76,8 +76,8 @@
   EXPECT_EQ(state.revision, 1U);
 }
 
-// A proposal whose answer was lost comes a second time under the same nonce: it
-// must not look like somebody else's claim, nor count twice.
+// A proposal whose result was lost is sent again with the same nonce: it must
+// neither look like the claim of another attempt nor count twice.
 TEST(StateMachineTest, ClaimSentAgainIsTheSameClaim) {
   control_state state;
   EXPECT_EQ(Apply(state, Claim("k", "n1")).outcome, command_outcome::kAccepted);
@@ -90,9 +90,9 @@
   EXPECT_EQ(Apply(state, Claim("k", "n3")).body, "answer");
 }
 
-// The process that held the claim is gone: whether its call ran is not known,
-// for good.
-TEST(StateMachineTest, ClaimOfADeadProcessIsOfUnknownFate) {
+// The process with the claim has terminated: it stays unknown whether its call
+// ran.
+TEST(StateMachineTest, ClaimOfATerminatedProcessHasUnknownOutcome) {
   control_state state;
   Apply(state, Register("a", "boot-1"));
   Apply(state, Claim("k", "n1"));
@@ -103,9 +103,9 @@
             command_outcome::kUnknown);
 }
 
-// At the bound, a new claim is refused rather than an old one forgotten, until
-// one has expired.
-TEST(StateMachineTest, FullClaimsAreRefusedNotForgotten) {
+// At the limit a new claim is rejected until an old one has expired; no valid
+// claim is removed.
+TEST(StateMachineTest, NewClaimIsRejectedAtTheLimit) {
   control_state state;
   Apply(state, Submit("c", 0, "claims: {maximum: 10, retention: 1m}\n"));
   for (int i = 0; i < 10; ++i) {
@@ -119,7 +119,7 @@
   EXPECT_EQ(Apply(state, later).outcome, command_outcome::kAccepted);
 }
 
-TEST(StateMachineTest, NotRunGivesTheClaimBack) {
+TEST(StateMachineTest, NotRunReleasesTheClaim) {
   control_state state;
   Apply(state, Claim("k", "n1"));
   command release = Finish("k", "n1");
@@ -140,8 +140,8 @@
   EXPECT_TRUE(repeat.body.empty());
 }
 
-// A coordinator that was replaced without noticing commits a batch: refused,
-// whatever it holds.
+// A coordinator that was replaced without having detected it commits a batch:
+// the batch must be rejected, whatever it contains.
 TEST(StateMachineTest, OldEpochCommitsNothing) {
   control_state state;
   command open;
@@ -154,7 +154,7 @@
             command_outcome::kAccepted);
   EXPECT_EQ(Apply(state, Batch(1, 1, {2})).outcome, command_outcome::kExists);
   EXPECT_EQ(Apply(state, Batch(1, 2, {1, 2})).outcome,
-            command_outcome::kInvalid);  // slot 1 went out before
+            command_outcome::kInvalid);  // slot 1 has already been delivered
   command take_over = open;
   take_over.kind = command_kind::kTakeOverStep;
   take_over.instance = "b";
@@ -178,8 +178,8 @@
   EXPECT_EQ(state.weights.at("p"), 5);
 }
 
-// Any sequence of claims and outcomes: a key is granted at most once between
-// two "not run" releases, and a snapshot in the middle changes nothing.
+// For any sequence of claims and outcomes a key is granted at most once between
+// two "not run" releases, and restoring a snapshot in between changes nothing.
 RC_GTEST_PROP(StateMachineTest, ClaimsAreGrantedOnce, ()) {
   control_state state;
   std::set<std::string> granted;
--- a/tests/unit/membership/exchange_test.cc
+++ b/tests/unit/membership/exchange_test.cc
@@ -43,7 +43,7 @@
   return result;
 }
 
-// One round of every node; an exchange is lost when `is_lost` says so.
+// Runs one round of every node. Each message is lost if `is_lost` returns true.
 template <typename is_lost_function>
 void RunRound(fleet& all, time_point now, const is_lost_function& is_lost) {
   for (size_t i = 0; i < all.nodes.size(); ++i) {
@@ -68,14 +68,14 @@
   }
 }
 
-bool KnowsAsLeaving(const exchange_state& node, const std::string& id) {
+bool HasAsLeaving(const exchange_state& node, const std::string& id) {
   const auto found = node.table.records.find(id);
   return found != node.table.records.end() && found->second.latest.is_leaving;
 }
 
-// A leave told to one of 64 instances has reached all of them after a few
-// rounds of three exchanges.
-TEST(ExchangeTest, LeaveSpreadsInAFewRounds) {
+// A departure reported to one of 64 instances must reach all of them within a
+// few rounds of three exchanges.
+TEST(ExchangeTest, DepartureReachesAllInAFewRounds) {
   fleet all = MakeFleet(64);
   Merge(all.nodes[0].table, Endpoint("e"), milliseconds(3000), kStart);
   for (int i = 0; i < 8; ++i) RunRound(all, kStart, [] { return false; });
@@ -83,20 +83,20 @@
   leave.is_leaving = true;
   Merge(all.nodes[5].table, leave, milliseconds(3000), kStart);
   int rounds = 0;
-  size_t knowing = 0;
-  while (knowing < all.nodes.size() && rounds < 50) {
+  size_t informed = 0;
+  while (informed < all.nodes.size() && rounds < 50) {
     ++rounds;
     RunRound(all, kStart, [] { return false; });
-    knowing = 0;
+    informed = 0;
     for (const exchange_state& node : all.nodes) {
-      knowing += KnowsAsLeaving(node, "e") ? 1 : 0;
+      informed += HasAsLeaving(node, "e") ? 1 : 0;
     }
   }
   EXPECT_LE(rounds, 6);
 }
 
-// With a third of all messages lost and leaves told anywhere, no instance
-// routes to a leaving endpoint at the end, and a late copy of an older
+// With a third of all messages lost and departures reported to any instance, no
+// instance routes to a leaving endpoint at the end, and a late copy of an older
 // announcement does not bring it back.
 RC_GTEST_PROP(ExchangeTest, LeavesWinOverLateCopies, ()) {
   fleet all = MakeFleet(6);
@@ -123,8 +123,8 @@
   }
 }
 
-// What instances pay for endpoints that only refresh their leases: the news of
-// an endpoint crosses each pair of instances at most twice, in the short form.
+// Bounds the cost of endpoints that only refresh their leases: each refresh is
+// sent at most twice between each pair of instances, in the short form.
 TEST(ExchangeTest, RefreshesAreShortAndNotEchoed) {
   constexpr size_t kNodes = 8;
   constexpr size_t kEndpoints = 100;
@@ -167,7 +167,7 @@
   EXPECT_LE(refreshes, kEndpoints * kNodes * (kNodes - 1));
 }
 
-TEST(ExchangeTest, LeaseEndsWithoutNews) {
+TEST(ExchangeTest, LeaseExpiresWithoutAnnouncement) {
   exchange_state node;
   Merge(node.table, Endpoint("e"), milliseconds(3000), kStart);
   EXPECT_TRUE(ExpireLeases(node.table, kStart + milliseconds(2999)).empty());
@@ -179,21 +179,21 @@
   EXPECT_TRUE(node.table.records.empty());
 }
 
-TEST(ExchangeTest, IdOfALiveEndpointCantBeTaken) {
+TEST(ExchangeTest, IdOfALiveEndpointCantBeReused) {
   exchange_state node;
   Merge(node.table, Endpoint("e"), milliseconds(3000), kStart);
-  announcement thief = Endpoint("e", 9);
-  thief.address = "127.0.0.1:2";
-  thief.boot = 99;
-  EXPECT_EQ(
-      Merge(node.table, thief, milliseconds(3000), kStart + milliseconds(10)),
-      merge_result::kRefused);
-  EXPECT_EQ(
-      Merge(node.table, thief, milliseconds(3000), kStart + milliseconds(3001)),
-      merge_result::kChanged);
+  announcement impostor = Endpoint("e", 9);
+  impostor.address = "127.0.0.1:2";
+  impostor.boot = 99;
+  EXPECT_EQ(Merge(node.table, impostor, milliseconds(3000),
+                  kStart + milliseconds(10)),
+            merge_result::kRefused);
+  EXPECT_EQ(Merge(node.table, impostor, milliseconds(3000),
+                  kStart + milliseconds(3001)),
+            merge_result::kChanged);
 }
 
-TEST(ExchangeTest, SenselessAnnouncementsAreRefused) {
+TEST(ExchangeTest, InvalidAnnouncementsAreRejected) {
   announcement input = Endpoint("e");
   EXPECT_TRUE(CheckAnnouncement(input));
   input.lease_ms = 1;
