--- a/tests/unit/rollout/step_test.cc
+++ b/tests/unit/rollout/step_test.cc
@@ -38,7 +38,7 @@
   return result;
 }
 
-TEST(StepTest, BatchesAreWholeGroupsOfReplicatedSamples) {
+TEST(StepTest, BatchesAreCompleteGroupsOfReplicatedSamples) {
   step_run step = StartStep(Spec(2, 2), 1, kStart);
   const auto launches = NextLaunches(step, {}, kStart, 10);
   ASSERT_EQ(launches.size(), 4U);
@@ -50,7 +50,7 @@
   EXPECT_EQ(FormBatch(step, 1, 2, 10).slots, (std::vector<int64_t>{0, 1}));
 }
 
-// A sample that became stale between its completion and its delivery is
+// A sample that becomes stale between its completion and its delivery is
 // generated again.
 TEST(StepTest, StaleSampleIsGeneratedAgain) {
   step_run step = StartStep(Spec(1, 1), 1, kStart);
@@ -63,9 +63,10 @@
   EXPECT_EQ(NextLaunches(step, {}, kStart, 1).size(), 1U);
 }
 
-// The copy starts from where the slow original has got to; when one is complete
-// the other is cancelled, and a late completion of the loser changes nothing.
-TEST(StepTest, HedgeRacesFromTheTokenReached) {
+// A hedge continues from the current text of the slow original. When one
+// attempt is complete, the other is cancelled, and a late completion of the
+// losing attempt has no effect.
+TEST(StepTest, HedgeContinuesFromTheTextOfTheOriginal) {
   step_run step = StartStep(Spec(8, 1), 1, kStart);
   const auto launches = NextLaunches(step, {}, kStart, 8);
   for (size_t i = 0; i < 7; ++i) {
@@ -85,7 +86,8 @@
   EXPECT_TRUE(won.is_accepted);
   EXPECT_EQ(won.cancel_attempts, std::vector<uint64_t>{launches[7].attempt});
   EXPECT_EQ(step.hedge_tokens,
-            50);  // what the original generated after the copy took over
+            50);  // tokens that the original generated after the hedge resumed
+                  // its text
   EXPECT_FALSE(NoteComplete(step, launches[7].attempt, Sample(7, 1),
                             kStart + milliseconds(500))
                    .is_accepted);
@@ -98,7 +100,7 @@
     NoteComplete(step, launches[i].attempt, Sample(launches[i].slot, 1, 100),
                  kStart + milliseconds(10));
   }
-  // 5% of 1000 tokens pay for no copy of 100 expected tokens.
+  // 5% of 1000 tokens are less than one hedge of 100 expected tokens.
   EXPECT_TRUE(NextLaunches(step, {}, kStart + milliseconds(1000), 20).empty());
   hedge_policy generous;
   generous.token_budget = 0.25;
@@ -106,7 +108,7 @@
       NextLaunches(step, generous, kStart + milliseconds(1000), 20).size(), 2U);
 }
 
-TEST(StepTest, SpecsThatCantRunAreRefused) {
+TEST(StepTest, InvalidSpecsAreRejected) {
   EXPECT_TRUE(CheckSpec(Spec(1, 1)));
   EXPECT_FALSE(CheckSpec(Spec(0, 1)));
   EXPECT_FALSE(CheckSpec(Spec(1, 0)));
@@ -118,8 +120,8 @@
   EXPECT_FALSE(CheckSpec(spec));
 }
 
-// Any order of launches, failures, completions, staleness and deliveries: each
-// slot is delivered once, always within the bound.
+// For any order of launches, failures, completions, staleness and deliveries,
+// each slot is delivered once, and its sample is always within the bound.
 RC_GTEST_PROP(StepTest, EachSlotIsDeliveredOnceWithinTheBound, ()) {
   step_run step = StartStep(Spec(5, 2), 1, kStart);
   std::vector<launch> running;
@@ -169,7 +171,7 @@
   }
 }
 
-TEST(LabelTest, ChunksMustFitTogether) {
+TEST(LabelTest, ChunksMustBeContiguous) {
   generated_text text;
   EXPECT_TRUE(AppendChunk(text, "r", {"r", 0, 2, "ab", 1, ""}));
   EXPECT_FALSE(AppendChunk(text, "r", {"r", 3, 2, "cd", 1, ""}));  // a gap
@@ -183,7 +185,7 @@
   EXPECT_TRUE(IsLabelComplete(text));
 }
 
-TEST(BodyStoreTest, LimitIsKeptAndGivenBack) {
+TEST(BodyStoreTest, LimitIsEnforcedAndReleased) {
   body_store store;
   store.byte_limit = 100;
   EXPECT_TRUE(HoldSpec(store, "a", std::string(40, 'x'), kStart));
@@ -195,7 +197,7 @@
   EXPECT_EQ(store.bytes, 0U);
 }
 
-TEST(BurnTest, WindowsForgetAndRatesCompareWithTheBudget) {
+TEST(BurnTest, WindowsAreLimitedAndRatesRelateToTheBudget) {
   burn_recorder recorder;
   const core::wall_time now{std::chrono::hours(1000)};
   AddBurn(recorder, objective::kTrainerIdle, "p", 90, 10, "generation",
--- a/tests/unit/settings/documentation_test.cc
+++ b/tests/unit/settings/documentation_test.cc
@@ -1,5 +1,5 @@
-// docs/configuration.md lists every setting with its type, default and meaning,
-// as the code has them.
+// docs/configuration.md must list every setting with the type, default and
+// meaning in the code.
 
 #include <gtest/gtest.h>
 
--- a/tests/unit/settings/fleet_config_test.cc
+++ b/tests/unit/settings/fleet_config_test.cc
@@ -50,8 +50,8 @@
   EXPECT_EQ(sites->at("north").pools.count("rigcoach"), 0U);
 }
 
-// Every kind of fault gives a finding with its place.
-TEST(FleetConfigTest, FindingsNameThePlace) {
+// Every kind of error results in a finding with its location.
+TEST(FleetConfigTest, FindingsHaveALocation) {
   EXPECT_EQ(Findings("pools:\n  p:\n    model: m\n    staleness_bound: 1\n    "
                      "colour: red\n"),
             "base.yaml:5:5: unknown key 'pools.p.colour'\n");
@@ -89,7 +89,7 @@
             std::string::npos);
 }
 
-TEST(FleetConfigTest, FaultOfTheBaseIsReportedOnce) {
+TEST(FleetConfigTest, ErrorInTheBaseIsReportedOnce) {
   const std::string text =
       Findings("colour: red\n", {{"north", {"n", ""}}, {"south", {"s", ""}}});
   EXPECT_EQ(text, "base.yaml:1:1: unknown key 'colour'\n");
@@ -105,7 +105,7 @@
   }
 }
 
-// Whatever bytes an operator submits, the check ends with findings or a
+// For any input of an operator the validation ends with findings or a
 // configuration.
 RC_GTEST_PROP(FleetConfigTest, AnyBytesAreChecked, (const std::string& text)) {
   Findings(text);
