--- a/packages/consensus/group_replica.h
+++ b/packages/consensus/group_replica.h
@@ -65,7 +65,7 @@
 // Result of a proposal on the replica that proposed it.
 enum class proposal_end {
   kCommitted,
-  // Leadership ended first: this replica can't tell whether the entry is
+  // Leadership ended first: this replica doesn't learn whether the entry is
   // committed.
   kLost,
 };
--- a/packages/consensus/raft.h
+++ b/packages/consensus/raft.h
@@ -78,8 +78,8 @@
   hard_state hard;
   raft_log log;
   uint64_t commit = 0;
-  uint64_t delivered_index =
-      0;  // index of the last committed entry passed to the caller
+  // Index of the last committed entry passed to the caller.
+  uint64_t delivered_index = 0;
   raft_role role = raft_role::kFollower;
   member leader;  // empty node: unknown
   // Time of the last valid message of the leader, initially the start of the
--- a/packages/consensus/raft_log.h
+++ b/packages/consensus/raft_log.h
@@ -15,8 +15,8 @@
 // needs no snapshot.
 struct raft_log {
   snapshot snap;
-  uint64_t base_index =
-      0;  // index of the entry before the first one in `entries`
+  // Index of the entry before the first one in `entries`.
+  uint64_t base_index = 0;
   uint64_t base_term = 0;
   std::deque<log_entry> entries;
 };
--- a/packages/consensus/storage.h
+++ b/packages/consensus/storage.h
@@ -18,8 +18,8 @@
   hard_state hard;
   raft_log log;
   bool is_new = false;  // the folder was empty: this is a new member
-  bool was_tail_cut =
-      false;  // an incomplete write at the end of the log was removed
+  // An incomplete write at the end of the log was removed.
+  bool was_tail_cut = false;
   // Last index that was replayed; empty if not even the snapshot was replayed.
   std::optional<uint64_t> replayed;
 };
--- a/packages/control/configuration_lease.cc
+++ b/packages/control/configuration_lease.cc
@@ -27,7 +27,7 @@
   holder.applied = applied;
   holder.revision = revision;
   holder.expires_at = now + leases.duration + leases.duration / kMarginDivisor;
-  holder.may_serve_unreachable = false;
+  holder.may_still_serve = false;
 }
 
 void NoteDarkSites(lease_book& leases,
@@ -37,13 +37,10 @@
       DarkSites(leases, site_sizes, 0, now);
   for (auto& item : leases.holders) {
     lease_holder& holder = item.second;
-    const bool is_unreachable =
-        std::find(unreachable.begin(), unreachable.end(), holder.site) !=
-        unreachable.end();
-    if (is_unreachable && holder.expires_at <= now)
-      holder.may_serve_unreachable = true;
-    if (site_sizes.count(holder.site) == 0)
-      holder.may_serve_unreachable = false;
+    const bool is_cut_off = std::find(unreachable.begin(), unreachable.end(),
+                                      holder.site) != unreachable.end();
+    if (is_cut_off && holder.expires_at <= now) holder.may_still_serve = true;
+    if (site_sizes.count(holder.site) == 0) holder.may_still_serve = false;
   }
 }
 
@@ -57,8 +54,8 @@
   return std::all_of(leases.holders.begin(), leases.holders.end(),
                      [index, now](const auto& item) {
                        const lease_holder& holder = item.second;
-                       const bool is_expired = holder.expires_at <= now &&
-                                               !holder.may_serve_unreachable;
+                       const bool is_expired =
+                           holder.expires_at <= now && !holder.may_still_serve;
                        return holder.applied >= index || is_expired;
                      });
 }
--- a/packages/control/configuration_lease.h
+++ b/packages/control/configuration_lease.h
@@ -25,7 +25,7 @@
   core::time_point expires_at{};
   // The lease expired while the site was unreachable: the instance may continue
   // to serve its revision until it has contact again.
-  bool may_serve_unreachable = false;
+  bool may_still_serve = false;
 };
 
 // The leader's table of leases. It is not replicated: a new leader starts with
--- a/packages/control/replica.cc
+++ b/packages/control/replica.cc
@@ -51,7 +51,7 @@
   group_.Tick();
   NoteDarkSites(leases_, IncludedSites(), clock_.Now());
   if (IsServing()) RemoveTerminatedInstances();
-  RetryDelayedSubmissions();
+  RetryQueuedSubmissions();
   AnswerSubmissions();
   AnswerPendingViews();
 }
@@ -82,11 +82,11 @@
 
 void replica::FailPendingSubmissions() {
   std::vector<pending_submission> submissions = std::move(submissions_);
-  std::vector<delayed_submission> delayed = std::move(delayed_submissions_);
+  std::vector<queued_submission> queued = std::move(queued_submissions_);
   submissions_.clear();
-  delayed_submissions_.clear();
+  queued_submissions_.clear();
   proposal_answer lost = NotLeader();
-  for (delayed_submission& item : delayed) item.done(lost);
+  for (queued_submission& item : queued) item.done(lost);
   lost.status = proposal_status::kLost;
   for (pending_submission& item : submissions) item.done(lost);
   AnswerPendingViews();
--- a/packages/control/replica.h
+++ b/packages/control/replica.h
@@ -26,7 +26,7 @@
 enum class proposal_status {
   kDone,
   kNotLeader,  // nothing was proposed; `leader` is set if it is known
-  // Leadership ended first: this replica can't tell whether the command is
+  // Leadership ended first: this replica doesn't learn whether the command is
   // committed.
   kLost,
   kHeld,     // a site is unreachable; nothing was proposed
@@ -155,7 +155,7 @@
     proposal_answer answer;
     proposal_callback done;
   };
-  struct delayed_submission {
+  struct queued_submission {
     command input;
     proposal_callback done;
   };
@@ -174,7 +174,7 @@
   void OnApplied() override;
   void OnStorageFailure() override { on_storage_failure_(); }
   void FailPendingSubmissions();
-  void RetryDelayedSubmissions();
+  void RetryQueuedSubmissions();
   void AnswerSubmissions();
   bool Decide(pending_submission& item);
   void AnswerPendingViews();
@@ -194,8 +194,8 @@
   lease_book leases_;
 
   std::vector<pending_submission> submissions_;
-  // Submissions delayed until the lease table is complete.
-  std::vector<delayed_submission> delayed_submissions_;
+  // Submissions queued until the lease table is complete.
+  std::vector<queued_submission> queued_submissions_;
   std::vector<pending_view> pending_views_;
 };
 
--- a/packages/control/replica_leases.cc
+++ b/packages/control/replica_leases.cc
@@ -39,7 +39,7 @@
   // A new leader's lease table is incomplete, so the leader can't distinguish
   // an unreachable site from a reachable one yet.
   if (clock_.Now() < leases_.complete_at) {
-    delayed_submissions_.push_back({std::move(input), std::move(done)});
+    queued_submissions_.push_back({std::move(input), std::move(done)});
     return;
   }
   const bool is_repeat =
@@ -91,12 +91,11 @@
   });
 }
 
-void replica::RetryDelayedSubmissions() {
-  if (delayed_submissions_.empty() || clock_.Now() < leases_.complete_at)
-    return;
-  std::vector<delayed_submission> delayed = std::move(delayed_submissions_);
-  delayed_submissions_.clear();
-  for (delayed_submission& item : delayed) {
+void replica::RetryQueuedSubmissions() {
+  if (queued_submissions_.empty() || clock_.Now() < leases_.complete_at) return;
+  std::vector<queued_submission> queued = std::move(queued_submissions_);
+  queued_submissions_.clear();
+  for (queued_submission& item : queued) {
     Submit(std::move(item.input), std::move(item.done));
   }
 }
--- a/packages/control/state_machine.h
+++ b/packages/control/state_machine.h
@@ -65,8 +65,8 @@
   std::vector<std::string> holders;
   std::vector<batch_record> batches;  // by cursor, from 1
   bool is_closed = false;
-  int end_status =
-      0;  // if closed: 200 complete, 206 partial, 504 deadline missed
+  // If closed: 200 complete, 206 partial, 504 deadline missed.
+  int end_status = 0;
   int64_t opened_ms = 0;
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(step_record, coordinator, boot,
@@ -75,8 +75,8 @@
                                                 opened_ms)
 
 struct control_state {
-  uint64_t revision =
-      0;  // increases by one with each accepted change, never decreases
+  // Increases by one with each accepted change, never decreases.
+  uint64_t revision = 0;
   stored_file base;
   std::map<std::string, stored_file> overlays;  // by site
   std::vector<change_record> changes;           // the latest kMaxChanges
--- a/packages/membership/exchange.h
+++ b/packages/membership/exchange.h
@@ -74,8 +74,8 @@
 struct peer_progress {
   instance_info info;
   core::time_point heard_at{};
-  uint64_t seen_version =
-      0;  // version of the peer's table that was merged here
+  // Version of the peer's table that was merged here.
+  uint64_t seen_version = 0;
   std::string seen_boot;
   uint64_t sent_version = 0;  // version of this table that the peer has
   std::string sent_boot;      // boot id of the peer's process that has it
--- a/tests/unit/consensus/group_simulation.cc
+++ b/tests/unit/consensus/group_simulation.cc
@@ -42,8 +42,7 @@
   item.state.options.wanted_voters = wanted_voters_;
   item.state.options.keep_entries = 3;
   item.state.options.snapshot_piece_bytes = 16;
-  if (is_promise_disabled_)
-    item.state.options.election_timeout = milliseconds(60);
+  if (ignores_promise_) item.state.options.election_timeout = milliseconds(60);
   item.state.self = IdentityOf(index);
   item.state.hard = item.disk_hard;
   item.state.log = item.disk_log;
--- a/tests/unit/consensus/group_simulation.h
+++ b/tests/unit/consensus/group_simulation.h
@@ -35,8 +35,8 @@
   uint64_t DisksLost() const { return disks_lost_; }
   // Whether a disk was lost while another one was still missing: that of a
   // voter, or of a replica whose admission had begun. From then on the quorum
-  // is that of the larger group, and a group that tolerates one loss needs to
-  // make no progress after two. It still must not lose or contradict committed
+  // is that of the larger group, and a group that tolerates one loss need not
+  // make progress after two. It still must not lose or contradict committed
   // entries.
   bool HasLostTwoDisks() const { return has_lost_two_disks_; }
 
@@ -67,7 +67,7 @@
   void SetLeaving(const std::string& node);
 
   // Disable a safeguard, to verify that the checks detect the violation.
-  void DisableLeaderPromise() { is_promise_disabled_ = true; }
+  void DisableLeaderPromise() { ignores_promise_ = true; }
   void AllowVotesWithoutDisk() { allows_votes_without_disk_ = true; }
 
  private:
@@ -112,7 +112,7 @@
   uint64_t proposals_ = 0;
   uint64_t disks_lost_ = 0;
   bool has_lost_two_disks_ = false;
-  bool is_promise_disabled_ = false;
+  bool ignores_promise_ = false;
   bool allows_votes_without_disk_ = false;
 };
 
