--- a/packages/settings/node_settings.h
+++ b/packages/settings/node_settings.h
@@ -2,7 +2,7 @@
 #define HICKORYWOOD_SETTINGS_NODE_SETTINGS_H_
 
 // The settings of one process in a deployment that discovers its members: an
-// entry (a proxy for callers), a member of the control group, or a store.
+// entry (in front of the endpoints), a member of the control group, or a store.
 
 #include <chrono>
 #include <cstdint>
