--- a/packages/hickoryd/call_quarantine.cc
+++ b/packages/hickoryd/call_quarantine.cc
@@ -15,29 +15,34 @@
 using core::milliseconds;
 using transport::http_response;
 
-// A sound endpoint accepts within a few ms, also from another zone.
+// A healthy endpoint accepts a connection within a few ms, also from another
+// zone.
 constexpr milliseconds kProbeTimeout{300};
-// A process that ends closes its connections and its listening socket one after
-// the other.
-constexpr int kProbes = 2;
+// A terminating process may close its connections before its listening socket,
+// so one probe can still succeed.
+constexpr int kProbeCount = 2;
 constexpr milliseconds kProbePause{100};
 constexpr milliseconds kWatchPeriod{50};
-// Time in which the end of an endpoint whose connection broke shows.
-constexpr milliseconds kDoubtTime{3000};
-// One that listens again at the last probe has started anew, and is announced
-// within seconds, or has never ended.
-constexpr milliseconds kSuccessorTime = kDoubtTime;
-// An endpoint without power shows its end only by its next start.
+// Time within which the crash of an endpoint whose connection broke is
+// confirmed.
+constexpr milliseconds kConfirmationTime{3000};
+// An endpoint that accepts the last probe has either restarted, in which case
+// its new incarnation is announced within seconds, or never crashed.
+constexpr milliseconds kSuccessorTime = kConfirmationTime;
+// When a machine loses power, the crash is visible only through the next
+// incarnation of the endpoint.
 constexpr milliseconds kRestartTime{10000};
-constexpr milliseconds kTellPeriod{200};
-constexpr milliseconds kTellTimeout{1000};
+constexpr milliseconds kUpdatePeriod{200};
+constexpr milliseconds kUpdateTimeout{1000};
 constexpr milliseconds kExpirePeriod{10000};
-// Ends that wait to be told to one instance: about 100 KB.
+// Limit of the reports queued for one instance, about 100 KB, and of the
+// requests with unconfirmed crashes.
 constexpr size_t kMostReports = 1024;
-// Requests that are named for one end: more than endpoints run at once.
-constexpr size_t kMostVictims = 256;
-// Without a peer token nothing is kept secret between instances, and a digest
-// only has to name a request.
+// Limit of the requests that one crash is attributed to. More than an endpoint
+// runs at once.
+constexpr size_t kMaxRunningRequests = 256;
+// Without a peer token there is no secret between instances, and a digest only
+// has to identify a request.
 constexpr char kDigestKeyPrefix[] = "quarantine:";
 
 std::string IncarnationOf(const membership::announcement& endpoint) {
@@ -81,56 +86,56 @@
 
 void call_quarantine::Start() {
   context_.traffic.Every(kWatchPeriod, [this] { CheckBroken(); });
-  context_.traffic.Every(kTellPeriod, [this] { TellWaiting(); });
+  context_.traffic.Every(kUpdatePeriod, [this] { SendQueuedUpdates(); });
   context_.traffic.Every(kExpirePeriod, [this] { Expire(); });
-  context_.traffic.After(milliseconds(0), [this] { TellWaiting(); });
+  context_.traffic.After(milliseconds(0), [this] { SendQueuedUpdates(); });
 }
 
 quarantine::verdict call_quarantine::Check(
     const quarantine::request_identity& input) const {
   const core::time_point now = context_.clock.Now();
-  if (doubts_.empty()) return quarantine::Check(ledger_, key_, input, now);
+  if (unconfirmed_.empty()) return quarantine::Check(ledger_, key_, input, now);
   quarantine::verdict found =
       quarantine::CheckDigest(ledger_, quarantine::DigestOf(key_, input), now);
   if (found.standing == quarantine::request_standing::kQuarantined) {
     return found;
   }
-  const size_t ends = EndsOf(found.digest).size();
-  if (ends >= ledger_.options.most_ends) {
+  const size_t crash_count = CrashesOf(found.digest).size();
+  if (crash_count >= ledger_.options.most_ends) {
     found.standing = quarantine::request_standing::kQuarantined;
-    found.left = kDoubtTime;
-  } else if (ends + 1 >= ledger_.options.most_ends) {
+    found.left = kConfirmationTime;
+  } else if (crash_count + 1 >= ledger_.options.most_ends) {
     found.standing = quarantine::request_standing::kSuspected;
   }
   return found;
 }
 
-std::set<std::string> call_quarantine::EndsOf(const std::string& digest) const {
-  std::set<std::string> ends;
-  const auto known = ledger_.suspects.find(digest);
-  if (known != ledger_.suspects.end()) {
-    ends.insert(known->second.ends.begin(), known->second.ends.end());
+std::set<std::string> call_quarantine::CrashesOf(
+    const std::string& digest) const {
+  std::set<std::string> crashes;
+  const auto confirmed = ledger_.suspects.find(digest);
+  if (confirmed != ledger_.suspects.end()) {
+    crashes.insert(confirmed->second.ends.begin(),
+                   confirmed->second.ends.end());
   }
-  const auto doubted = doubts_.find(digest);
-  if (doubted == doubts_.end()) return ends;
-  for (const auto& [incarnation, until] : doubted->second) {
-    ends.insert(incarnation);
+  const auto unconfirmed_of_digest = unconfirmed_.find(digest);
+  if (unconfirmed_of_digest == unconfirmed_.end()) return crashes;
+  for (const auto& [incarnation, until] : unconfirmed_of_digest->second) {
+    crashes.insert(incarnation);
   }
-  return ends;
+  return crashes;
 }
 
-// --- What has ended.
-
 void call_quarantine::NoteBroken(const quarantine::request_identity& input,
                                  const membership::announcement& target) {
-  const fleet::crash_report victim{quarantine::DigestOf(key_, input),
-                                   std::string(input.customer),
-                                   IncarnationOf(target)};
-  if (!Watch(victim, target)) return;
-  Doubt(victim);
+  const fleet::crash_report suspected_request{quarantine::DigestOf(key_, input),
+                                              std::string(input.customer),
+                                              IncarnationOf(target)};
+  if (!Watch(suspected_request, target)) return;
+  AddUnconfirmed(suspected_request);
   quarantine_news news;
-  news.doubts = {victim};
-  TellAll(news);
+  news.doubts = {suspected_request};
+  QueueForAll(news);
 }
 
 void call_quarantine::NoteSilent(const quarantine::request_identity& input,
@@ -140,51 +145,53 @@
         target);
 }
 
-void call_quarantine::Doubt(const fleet::crash_report& report) {
-  if (doubts_.size() >= kMostReports) return;
-  doubts_[report.digest][report.incarnation] =
-      context_.clock.Now() + kDoubtTime;
+void call_quarantine::AddUnconfirmed(const fleet::crash_report& report) {
+  if (unconfirmed_.size() >= kMostReports) return;
+  unconfirmed_[report.digest][report.incarnation] =
+      context_.clock.Now() + kConfirmationTime;
 }
 
-void call_quarantine::ForgetDoubts() {
+void call_quarantine::ExpireUnconfirmedCrashes() {
   const core::time_point now = context_.clock.Now();
-  for (auto& [digest, starts] : doubts_) {
-    std::erase_if(starts,
+  for (auto& [digest, incarnations] : unconfirmed_) {
+    std::erase_if(incarnations,
                   [now](const auto& item) { return now >= item.second; });
   }
-  std::erase_if(doubts_, [](const auto& item) { return item.second.empty(); });
+  std::erase_if(unconfirmed_,
+                [](const auto& item) { return item.second.empty(); });
 }
 
-bool call_quarantine::Watch(const fleet::crash_report& victim,
+bool call_quarantine::Watch(const fleet::crash_report& suspected_request,
                             const membership::announcement& target) {
   const core::time_point now = context_.clock.Now();
   const auto view = context_.board.Get();
   if (FindListed(*view, target.id) == nullptr) return false;
-  broken_endpoint& entry = broken_[victim.incarnation];
+  broken_endpoint& entry = broken_[suspected_request.incarnation];
   if (entry.probes_left == 0) {
     entry.target = target;
-    entry.probes_left = kProbes;
+    entry.probes_left = kProbeCount;
     entry.probe_at = now;
-    entry.give_up_at = now + kRestartTime;
+    entry.watched_until = now + kRestartTime;
   }
-  AddVictim(entry, victim);
+  AddRunningRequest(entry, suspected_request);
   CheckBroken();
   return true;
 }
 
-void call_quarantine::AddVictim(broken_endpoint& entry,
-                                fleet::crash_report victim) {
-  std::vector<fleet::crash_report>& victims = entry.victims;
-  const bool is_known = std::any_of(victims.begin(), victims.end(),
-                                    [&victim](const fleet::crash_report& item) {
-                                      return item.digest == victim.digest;
-                                    });
-  if (is_known || victims.size() >= kMostVictims) return;
-  victims.push_back(std::move(victim));
+void call_quarantine::AddRunningRequest(broken_endpoint& entry,
+                                        fleet::crash_report suspected_request) {
+  std::vector<fleet::crash_report>& running_requests = entry.running_requests;
+  const bool is_known =
+      std::any_of(running_requests.begin(), running_requests.end(),
+                  [&suspected_request](const fleet::crash_report& item) {
+                    return item.digest == suspected_request.digest;
+                  });
+  if (is_known || running_requests.size() >= kMaxRunningRequests) return;
+  running_requests.push_back(std::move(suspected_request));
 }
 
 void call_quarantine::CheckBroken() {
-  ForgetDoubts();
+  ExpireUnconfirmedCrashes();
   if (broken_.empty()) return;
   const core::time_point now = context_.clock.Now();
   const auto view = context_.board.Get();
@@ -195,17 +202,17 @@
     if (listed != nullptr && listed->boot > entry.target.boot) {
       ended.push_back(incarnation);
     } else if (entry.probes_left > 0 && now >= entry.probe_at) {
-      Probe(incarnation, entry);
+      SendProbe(incarnation, entry);
     }
   }
-  for (const std::string& incarnation : ended) NoteEnded(incarnation);
+  for (const std::string& incarnation : ended) OnCrashConfirmed(incarnation);
   std::erase_if(broken_, [now](const auto& item) {
-    return now >= item.second.give_up_at;
+    return now >= item.second.watched_until;
   });
 }
 
-void call_quarantine::Probe(const std::string& incarnation,
-                            broken_endpoint& entry) {
+void call_quarantine::SendProbe(const std::string& incarnation,
+                                broken_endpoint& entry) {
   --entry.probes_left;
   entry.probe_at = context_.clock.Now() + kProbePause;
   transport::http_request request;
@@ -216,30 +223,30 @@
   context_.client.Send(std::move(request),
                        [this, incarnation](const http_response& response) {
                          context_.traffic.Post([this, incarnation, response] {
-                           TakeProbe(incarnation, response);
+                           HandleProbeResult(incarnation, response);
                          });
                        });
 }
 
-void call_quarantine::TakeProbe(const std::string& incarnation,
-                                const http_response& response) {
+void call_quarantine::HandleProbeResult(const std::string& incarnation,
+                                        const http_response& response) {
   const auto found = broken_.find(incarnation);
   if (found == broken_.end()) return;
   const bool is_connected = response.how == transport::delivery::kAnswered;
   if (!is_connected && !response.is_timeout) {
-    NoteEnded(incarnation);
+    OnCrashConfirmed(incarnation);
     return;
   }
   if (is_connected && found->second.probes_left == 0) {
-    found->second.give_up_at = context_.clock.Now() + kSuccessorTime;
+    found->second.watched_until = context_.clock.Now() + kSuccessorTime;
   }
 }
 
-void call_quarantine::NoteEnded(const std::string& incarnation) {
+void call_quarantine::OnCrashConfirmed(const std::string& incarnation) {
   const auto found = broken_.find(incarnation);
   if (found == broken_.end()) return;
   quarantine_news news;
-  news.seen.reports = std::move(found->second.victims);
+  news.seen.reports = std::move(found->second.running_requests);
   broken_.erase(found);
   for (const fleet::crash_report& report : news.seen.reports) {
     LogEvent(event_id::kEndpointEndedUnderRequest,
@@ -249,23 +256,23 @@
     quarantine::LogChanges(
         ledger_, quarantine::NoteEnd(ledger_, report, context_.clock.Now()));
   }
-  TellAll(news);
+  QueueForAll(news);
 }
 
 void call_quarantine::NoteServed(const quarantine::request_identity& input) {
-  const bool may_be_known =
-      !doubts_.empty() || quarantine::MayBeKnown(ledger_, key_, input);
-  if (!may_be_known) return;
+  const bool may_have_crashes =
+      !unconfirmed_.empty() || quarantine::MayBeKnown(ledger_, key_, input);
+  if (!may_have_crashes) return;
   quarantine_news news;
   const std::string digest = quarantine::DigestOf(key_, input);
-  if (EndsOf(digest).empty()) return;
+  if (CrashesOf(digest).empty()) return;
   news.seen.served = {digest};
-  TakeServed(digest);
-  TellAll(news);
+  ApplyServed(digest);
+  QueueForAll(news);
 }
 
-void call_quarantine::TakeServed(const std::string& digest) {
-  doubts_.erase(digest);
+void call_quarantine::ApplyServed(const std::string& digest) {
+  unconfirmed_.erase(digest);
   quarantine::LogChanges(
       ledger_,
       quarantine::Release(ledger_, digest, quarantine::release_reason::kServed,
@@ -277,35 +284,35 @@
                          quarantine::Expire(ledger_, context_.clock.Now()));
 }
 
-// --- What others are told, and tell.
-
-// Each instance tells only what it has seen itself. What it has heard it tells
-// to none but those that start: told on, old ends would never be forgotten.
-void call_quarantine::TellAll(const quarantine_news& news) {
+// Each instance reports only the crashes that it detected itself. It passes
+// received reports on only to instances that start: if they were relayed
+// further, old crashes would never expire.
+void call_quarantine::QueueForAll(const quarantine_news& news) {
   for (auto& [peer, box] : outboxes_) Append(box.next, news);
-  TellWaiting();
+  SendQueuedUpdates();
 }
 
-void call_quarantine::TellWaiting() {
-  for (const auto& [peer, box] : outboxes_) Tell(peer);
+void call_quarantine::SendQueuedUpdates() {
+  for (const auto& [peer, box] : outboxes_) SendUpdate(peer);
 }
 
-void call_quarantine::Tell(const std::string& peer) {
+void call_quarantine::SendUpdate(const std::string& peer) {
   outbox& box = outboxes_.at(peer);
   if (box.is_calling || box.next.IsEmpty()) return;
   box.is_calling = true;
-  const quarantine_news told = std::exchange(box.next, {});
-  context_.links.Call(peer, kNewsPath, core::Encode(told), kTellTimeout,
-                      [this, peer, told](const http_response& response) {
-                        context_.traffic.Post([this, peer, told, response] {
-                          TakeReply(peer, told, response);
-                        });
-                      });
+  const quarantine_news sent_update = std::exchange(box.next, {});
+  context_.links.Call(
+      peer, kNewsPath, core::Encode(sent_update), kUpdateTimeout,
+      [this, peer, sent_update](const http_response& response) {
+        context_.traffic.Post([this, peer, sent_update, response] {
+          HandleUpdateReply(peer, sent_update, response);
+        });
+      });
 }
 
-void call_quarantine::TakeReply(const std::string& peer,
-                                const quarantine_news& told,
-                                const http_response& response) {
+void call_quarantine::HandleUpdateReply(const std::string& peer,
+                                        const quarantine_news& sent_update,
+                                        const http_response& response) {
   outbox& box = outboxes_.at(peer);
   box.is_calling = false;
   std::optional<quarantine_list> list;
@@ -314,8 +321,8 @@
     list = core::Decode<quarantine_list>(response.body);
   }
   if (!list) {
-    quarantine_news again = told;
-    again.doubts.clear();  // would be told again too late to count
+    quarantine_news again = sent_update;
+    again.doubts.clear();  // would arrive too late to count
     Append(again, box.next);
     box.next = std::move(again);
     return;
@@ -326,22 +333,22 @@
                                         item.forgiven};
     quarantine::LogChanges(ledger_,
                            quarantine::Forgive(ledger_, forgiven, now));
-    for (const std::string& end : item.ends) {
-      const fleet::crash_report report{item.digest, item.customer, end};
+    for (const std::string& crash : item.ends) {
+      const fleet::crash_report report{item.digest, item.customer, crash};
       quarantine::LogChanges(ledger_,
                              quarantine::NoteEnd(ledger_, report, now));
     }
   }
-  Tell(peer);
+  SendUpdate(peer);
 }
 
-quarantine_list call_quarantine::Take(const quarantine_news& input) {
+quarantine_list call_quarantine::ApplyUpdate(const quarantine_news& input) {
   const core::time_point now = context_.clock.Now();
   for (const fleet::crash_report& report : input.seen.reports) {
     quarantine::LogChanges(ledger_, quarantine::NoteEnd(ledger_, report, now));
   }
-  for (const fleet::crash_report& report : input.doubts) Doubt(report);
-  for (const std::string& digest : input.seen.served) TakeServed(digest);
+  for (const fleet::crash_report& report : input.doubts) AddUnconfirmed(report);
+  for (const std::string& digest : input.seen.served) ApplyServed(digest);
   if (!input.wants_all) return {};
   return {quarantine::ListWarnings(ledger_)};
 }
--- a/packages/hickoryd/call_quarantine.h
+++ b/packages/hickoryd/call_quarantine.h
@@ -1,9 +1,10 @@
 #ifndef HICKORYWOOD_HICKORYD_CALL_QUARANTINE_H_
 #define HICKORYWOOD_HICKORYD_CALL_QUARANTINE_H_
 
-// Holds back requests of the own interface that take endpoints down. Each
-// instance notes the ends that it sees, tells all others, and decides by what
-// it has heard. On the traffic thread.
+// Quarantines requests of the native API that crash endpoints. Each instance
+// records the crashes that it detects, reports them to all other instances, and
+// decides from its own records and the reports that it received. Runs on the
+// traffic thread.
 
 #include <map>
 #include <set>
@@ -19,13 +20,14 @@
 
 namespace hickorywood::hickoryd {
 
-// What an instance tells another one.
+// The update that one instance sends to another.
 struct quarantine_news {
-  fleet::crash_news seen;  // by itself, since it last told
-  // Connections that broke under a request. Whether the endpoints ended shows
-  // later, and the request can be back before that.
+  fleet::crash_news seen;  // crashes and releases that the sender observed
+                           // since its last update
+  // Connections that broke while a request ran. Whether the endpoint crashed is
+  // confirmed later, and the request may be retried before that.
   std::vector<fleet::crash_report> doubts;
-  bool wants_all = false;  // it has just started
+  bool wants_all = false;  // the sender has just started
 
   bool IsEmpty() const {
     return !wants_all && seen.reports.empty() && seen.served.empty() &&
@@ -35,7 +37,7 @@
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(quarantine_news, seen, doubts,
                                                 wants_all)
 
-// The answer, to one that wants all.
+// The response to an update with `wants_all`.
 struct quarantine_list {
   std::vector<fleet::request_warning> warnings;
 };
@@ -52,62 +54,69 @@
 
   quarantine::verdict Check(const quarantine::request_identity& input) const;
 
-  // The connection to `target` broke under a request before its answer was
-  // whole. Until it shows whether the endpoint has ended it counts as an end.
+  // The connection to `target` broke before the response to a request was
+  // complete. It counts as a crash until the crash is confirmed or
+  // `kConfirmationTime` has passed.
   void NoteBroken(const quarantine::request_identity& input,
                   const membership::announcement& target);
-  // No answer from `target` is waited for any more. An end that shows soon
-  // counts against the request.
+  // The request timed out or was cancelled, so no response from `target` is
+  // expected. A crash that is detected soon afterwards is attributed to the
+  // request.
   void NoteSilent(const quarantine::request_identity& input,
                   const membership::announcement& target);
-  // An endpoint answered the request and goes on.
+  // An endpoint answered the request and did not crash.
   void NoteServed(const quarantine::request_identity& input);
 
-  // Takes what another instance has seen.
-  quarantine_list Take(const quarantine_news& input);
+  // Applies the update of another instance.
+  quarantine_list ApplyUpdate(const quarantine_news& input);
 
  private:
-  // An endpoint that gave no whole answer, and the requests that it ran.
+  // An endpoint that returned no complete response, and the requests that were
+  // running on it.
   struct broken_endpoint {
     membership::announcement target;
-    std::vector<fleet::crash_report> victims;
+    std::vector<fleet::crash_report> running_requests;
     int probes_left = 0;
     core::time_point probe_at{};
-    core::time_point give_up_at{};
+    core::time_point watched_until{};
   };
-  // What another instance is yet to be told.
+  // The update that is still to be sent to another instance.
   struct outbox {
     quarantine_news next;
     bool is_calling = false;
   };
 
-  // False: the endpoint said that it leaves, and may end at any time.
-  bool Watch(const fleet::crash_report& victim,
+  // Starts probing `target`. False when the endpoint is not in the routing
+  // view: it announced its departure, and may terminate at any time.
+  bool Watch(const fleet::crash_report& suspected_request,
              const membership::announcement& target);
-  void Doubt(const fleet::crash_report& report);
-  void ForgetDoubts();
-  // Ends and doubts of a request.
-  std::set<std::string> EndsOf(const std::string& digest) const;
-  static void AddVictim(broken_endpoint& entry, fleet::crash_report victim);
+  void AddUnconfirmed(const fleet::crash_report& report);
+  void ExpireUnconfirmedCrashes();
+  // The confirmed and unconfirmed crashes of a request, by incarnation.
+  std::set<std::string> CrashesOf(const std::string& digest) const;
+  static void AddRunningRequest(broken_endpoint& entry,
+                                fleet::crash_report suspected_request);
   void CheckBroken();
-  void Probe(const std::string& incarnation, broken_endpoint& entry);
-  void TakeProbe(const std::string& incarnation,
-                 const transport::http_response& response);
-  void NoteEnded(const std::string& incarnation);
-  void TakeServed(const std::string& digest);
-  void TellAll(const quarantine_news& news);
-  void TellWaiting();
-  void Tell(const std::string& peer);
-  void TakeReply(const std::string& peer, const quarantine_news& told,
-                 const transport::http_response& response);
+  void SendProbe(const std::string& incarnation, broken_endpoint& entry);
+  void HandleProbeResult(const std::string& incarnation,
+                         const transport::http_response& response);
+  void OnCrashConfirmed(const std::string& incarnation);
+  void ApplyServed(const std::string& digest);
+  void QueueForAll(const quarantine_news& news);
+  void SendQueuedUpdates();
+  void SendUpdate(const std::string& peer);
+  void HandleUpdateReply(const std::string& peer,
+                         const quarantine_news& sent_update,
+                         const transport::http_response& response);
   void Expire();
 
   instance_context& context_;
-  const std::string key_;  // of the digests
+  const std::string key_;  // of the request digests
   quarantine::crash_ledger ledger_;
   std::map<std::string, broken_endpoint> broken_;  // by incarnation
-  // Starts whose connections broke, and until when they count, by digest.
-  std::map<std::string, std::map<std::string, core::time_point>> doubts_;
+  // Unconfirmed crashes: by request digest, the incarnations whose connections
+  // broke and the time until which each counts.
+  std::map<std::string, std::map<std::string, core::time_point>> unconfirmed_;
   std::map<std::string, outbox> outboxes_;  // by instance
 };
 
--- a/packages/hickoryd/generation_attempt.cc
+++ b/packages/hickoryd/generation_attempt.cc
@@ -1,4 +1,5 @@
-// The attempts of a generation at engines: their streams, failures and ends.
+// The attempts of a generation on engines: their streams, failures and
+// completion.
 
 #include <memory>
 #include <string>
@@ -15,12 +16,13 @@
 using core::LogEvent;
 using transport::delivery;
 
-constexpr int kMostAttempts = 6;
-// Engines that say "no room" are asked again after this time, without a limit
-// on the number.
+constexpr int kMaxAttempts = 6;
+// Retry interval after an engine reported that it is full. The number of these
+// retries is not limited.
 constexpr core::milliseconds kBusyPause{20};
 constexpr core::milliseconds kFailurePause{5};
-// Time in which the end of an engine shows: one more holds the request back.
+// Delay of the retry of a suspected request. A crash of the engine is detected
+// within this time, and one more crash quarantines the request.
 constexpr core::milliseconds kSuspectedPause{500};
 constexpr int kStatusTooMany = 429;
 constexpr int kStatusUnavailable = 503;
@@ -32,10 +34,10 @@
 
 }  // namespace
 
-// Bytes of an attempt that was given up arrive late; the attempt number keeps
-// them out.
-void generation_service::TakeBytes(uint64_t id, uint64_t attempt,
-                                   const std::string& bytes) {
+// Bytes of a cancelled attempt can arrive late; the attempt number filters them
+// out.
+void generation_service::HandleBytes(uint64_t id, uint64_t attempt,
+                                     const std::string& bytes) {
   const auto found = active_.find(id);
   if (found == active_.end() || found->second->attempt != attempt ||
       found->second->transfer == 0) {
@@ -54,7 +56,7 @@
       item->has_end_mark = true;
       continue;
     }
-    if (!TakeChunk(*item, event.chunk)) {
+    if (!AppendToGeneration(*item, event.chunk)) {
       HandleFailure(*item, core::LastReason().text, true);
       return;
     }
@@ -62,8 +64,8 @@
   }
 }
 
-bool generation_service::TakeChunk(generation& item,
-                                   const rollout::generation_chunk& chunk) {
+bool generation_service::AppendToGeneration(
+    generation& item, const rollout::generation_chunk& chunk) {
   if (item.has_end_mark || !item.finish_reason.empty()) {
     core::SetLastReason(core::reason_code::kInvalid,
                         "text after the end of the stream");
@@ -81,24 +83,25 @@
   return true;
 }
 
-void generation_service::TakeEnd(uint64_t id, uint64_t attempt,
-                                 const transport::http_response& response) {
+void generation_service::HandleStreamEnd(
+    uint64_t id, uint64_t attempt, const transport::http_response& response) {
   const auto found = active_.find(id);
   if (found == active_.end() || found->second->attempt != attempt ||
       found->second->transfer == 0) {
     return;
   }
   const std::shared_ptr<generation> item = found->second;
-  // A busy engine did not take this attempt. That says nothing about earlier
-  // ones: they may have run, and "not run" must not be said for them.
+  // A busy engine did not run this attempt. Earlier attempts may have run, so
+  // the outcome of the request must not become "not run" because of it.
   if (response.how == delivery::kAnswered && IsBusyAnswer(response)) {
     const auto view = context_.board.Get();
     const settings::pool_config* pool = FindPool(*view, item->request.pool);
     const int64_t limit = pool == nullptr ? 1 : pool->engine_concurrency;
     routing::NoteOverload(stats_[item->engine], limit);
     explain_.Add(item->request.id, item->engine + " is busy");
-    // Its load looks low, so it would be chosen again each time: a prompt whose
-    // home is a busy engine waited there while others were free.
+    // A busy engine can report a low load and would be chosen again each time:
+    // prompts whose preferred engine was busy waited there while other engines
+    // were free.
     item->request.avoid_engine = item->engine;
     FinishAttempt(*item);
     Requeue(*item, kBusyPause);
@@ -174,11 +177,11 @@
   ++item.failures;
   pool_state& state = pools_[item.request.pool];
   const bool may_retry =
-      item.failures < kMostAttempts && routing::TakeRetry(state.budget);
+      item.failures < kMaxAttempts && routing::TakeRetry(state.budget);
   if (!may_retry) {
     Fail(item,
-         "given up after " + std::to_string(item.failures) +
-             " failures; the last: " + reason,
+         "failed after " + std::to_string(item.failures) +
+             " attempts; last failure: " + reason,
          kNoEngineRetryAfter);
     return;
   }
@@ -200,13 +203,14 @@
   Pump(item.request.pool);
 }
 
-bool generation_service::IsHeldBack(generation& item) {
+bool generation_service::FailIfQuarantined(generation& item) {
   const quarantine::verdict verdict = quarantine_.Check(IdentityOf(item));
   if (verdict.standing != quarantine::request_standing::kQuarantined) {
     return false;
   }
   item.is_held_back = true;
-  Fail(item, "engines ended under this request, it is held back", verdict.left);
+  Fail(item, "engines crashed while running this request; it is held back",
+       verdict.left);
   return true;
 }
 
@@ -240,7 +244,7 @@
   if (item.is_queued) routing::Remove(pools_[pool].queue, item.id);
   active_.erase(item.id);
   if (done) done(result);
-  // Not at once: the callback may be deep in a call of Pump itself.
+  // Posted because this function may be called from within Pump().
   context_.traffic.Post([this, pool] { Pump(pool); });
 }
 
--- a/packages/hickoryd/generation_service.cc
+++ b/packages/hickoryd/generation_service.cc
@@ -14,7 +14,7 @@
 constexpr core::milliseconds kTimerPeriod{20};
 constexpr int kInteractivePriority = 0;
 constexpr int kRolloutPriority = 10;
-// Prompts that share this many leading bytes are taken to share a cached
+// Prompts with the same first kPrefixBytes bytes are assumed to share a cached
 // prefix.
 constexpr size_t kPrefixBytes = 256;
 
@@ -56,8 +56,9 @@
   item->request = std::move(request);
   item->callbacks = std::move(callbacks);
   item->arrived_at = now;
-  // The samples of one prompt run side by side, and one lost engine would count
-  // against the prompt once for each of them.
+  // Includes the sample number: the samples of one prompt run concurrently, and
+  // without it one crashed engine would count against the prompt once per
+  // sample.
   item->target = "/v1/completions#" + std::to_string(item->request.sample);
   const uint64_t id = item->id;
   active_[id] = item;
@@ -77,8 +78,8 @@
   }
   pool_state& state = pools_[asked.pool];
   state.budget.share = view->config->routing.retry_budget;
-  // The coordinator of a step bounds what it has in the queue; callers from
-  // outside are refused as soon as their wait would be too long.
+  // The coordinator of a step limits how many of its requests are queued.
+  // External callers are rejected as soon as their expected wait is too long.
   if (asked.kind == routing::traffic_class::kInteractive) {
     const routing::admission_decision decision = routing::Admit(
         state.rate, state.queue.interactive.size(), pool->queue_wait);
@@ -168,7 +169,7 @@
     candidates.push_back(next);
     endpoints.push_back(engine);
   }
-  // The engine to avoid goes out only if there is another one.
+  // Excludes the engine to avoid only if there is another candidate.
   const bool has_other =
       std::any_of(candidates.begin(), candidates.end(),
                   [&item](const routing::candidate& other) {
@@ -207,7 +208,7 @@
 
 // False when no engine has room.
 bool generation_service::Dispatch(const std::string& pool, generation& item) {
-  if (IsHeldBack(item)) return true;
+  if (FailIfQuarantined(item)) return true;
   const auto view = context_.board.Get();
   const settings::pool_config* config = FindPool(*view, pool);
   if (config == nullptr) return false;
@@ -280,47 +281,49 @@
   };
   request.on_data = [this, id, attempt](std::string_view bytes) {
     context_.traffic.Post([this, id, attempt, text = std::string(bytes)] {
-      TakeBytes(id, attempt, text);
+      HandleBytes(id, attempt, text);
     });
   };
   item.transfer = context_.client.Send(
       std::move(request),
       [this, id, attempt](const transport::http_response& response) {
-        context_.traffic.Post(
-            [this, id, attempt, response] { TakeEnd(id, attempt, response); });
+        context_.traffic.Post([this, id, attempt, response] {
+          HandleStreamEnd(id, attempt, response);
+        });
       });
 }
 
 void generation_service::CheckTimers() {
   const core::time_point now = context_.clock.Now();
   const auto view = context_.board.Get();
-  std::vector<std::shared_ptr<generation>> late;
-  std::vector<std::shared_ptr<generation>> silent;
+  std::vector<std::shared_ptr<generation>> overdue;
+  std::vector<std::shared_ptr<generation>> stalled;
   for (const auto& [id, item] : active_) {
     const bool is_late = item->request.deadline != core::time_point{} &&
                          now >= item->request.deadline;
     if (is_late) {
-      late.push_back(item);
+      overdue.push_back(item);
       continue;
     }
     const settings::pool_config* pool = FindPool(*view, item->request.pool);
     if (item->transfer == 0 || pool == nullptr) continue;
     if (now - item->progress_at > pool->progress_timeout) {
-      silent.push_back(item);
+      stalled.push_back(item);
     }
   }
-  for (const auto& item : late) {
+  for (const auto& item : overdue) {
     if (item->transfer != 0) {
       context_.client.Cancel(item->transfer);
       item->was_maybe_sent = true;
       FinishAttempt(*item);
     }
-    Fail(*item, "the deadline passed", core::milliseconds(0));
+    Fail(*item, "the deadline has passed", core::milliseconds(0));
   }
-  for (const auto& item : silent) {
+  for (const auto& item : stalled) {
     if (active_.count(item->id) == 0) continue;
     routing::NoteSilence(suspicion_, item->engine, now);
-    HandleFailure(*item, "the engine went silent", true);
+    HandleFailure(*item, "the engine sent no data within the progress timeout",
+                  true);
   }
   for (const auto& [name, state] : pools_) {
     if (state.queue.size > 0) Pump(name);
--- a/packages/hickoryd/generation_service.h
+++ b/packages/hickoryd/generation_service.h
@@ -2,8 +2,8 @@
 #define HICKORYWOOD_HICKORYD_GENERATION_SERVICE_H_
 
 // Runs generations on model engines: queues them by fair shares, chooses an
-// engine, watches the stream, and goes on elsewhere from the token reached when
-// an engine fails. On the traffic thread.
+// engine, monitors the stream, and when an engine fails resumes on another
+// engine after the last received token. Runs on the traffic thread.
 
 #include <cstdint>
 #include <functional>
@@ -30,44 +30,44 @@
 const char* OutcomeName(request_outcome outcome);
 
 struct generation_request {
-  std::string id;  // unique; engines echo it
+  std::string id;  // unique; engines return it
   std::string pool;
   std::string prompt;
   int64_t max_tokens = 0;
-  std::string
-      trainer;  // whose share it counts against; empty for interactive work
+  // The trainer whose share is charged; empty for interactive requests.
+  std::string trainer;
   routing::traffic_class kind = routing::traffic_class::kRollout;
   core::time_point deadline{};     // time_point{}: none
-  rollout::generated_text resume;  // goes on from here
+  rollout::generated_text resume;  // text to continue from
   int64_t oldest_version = 0;      // engines with older weights are not used
-  std::string avoid_engine;        // not this one if there is another
-  int64_t sample = 0;  // tells those that have the same prompt from each other
+  std::string avoid_engine;        // used only if there is no other engine
+  int64_t sample = 0;  // distinguishes requests with the same prompt
 };
 
 struct generation_result {
   bool is_complete = false;
   rollout::generated_text generated;
   std::string finish_reason;
-  std::string engine;  // that finished it
-  // When it is not complete:
+  std::string engine;  // that completed the generation
+  // The fields below apply when the generation is not complete.
   request_outcome outcome = request_outcome::kNotRun;
   std::string reason;
-  core::milliseconds retry_after{0};  // 0: coming back does not help
-  bool is_held_back = false;          // engines ended under it
+  core::milliseconds retry_after{0};  // 0: a retry does not help
+  bool is_held_back = false;          // engines crashed while running it
 };
 
 struct generation_callbacks {
-  // After each piece; `piece` is the new text.
+  // Called after each piece; `piece` is the new text.
   std::function<void(const rollout::generated_text& so_far,
                      const std::string& piece)>
       on_progress;
-  std::function<void(const generation_result& result)> on_done;  // once
+  std::function<void(const generation_result& result)> on_done;  // called once
 };
 
-// Baselines that measurements switch on.
+// Alternatives to the default behavior, enabled for baseline measurements.
 struct generation_policy {
   routing::choice_policy choice;
-  bool resumes = true;  // false: starts over after a failure
+  bool resumes = true;  // false: restarts from the beginning after a failure
 };
 
 class generation_service {
@@ -78,19 +78,20 @@
   // Schedules the timers. Call before the traffic loop starts.
   void Start();
 
-  // Queues a generation. `on_done` may be called before this returns, when it
-  // is refused at once.
+  // Queues a generation. If it is rejected immediately, `on_done` is called
+  // before this function returns.
   uint64_t Begin(generation_request request, generation_callbacks callbacks);
 
-  // Stops a generation; the engine sees its connection close. `on_done` is not
-  // called.
+  // Cancels a generation and closes the connection to its engine. `on_done` is
+  // not called.
   void Cancel(uint64_t id);
 
-  // The engine that works on a generation now; empty: none.
+  // The engine that currently runs the generation; empty if there is none.
   std::string EngineOf(uint64_t id) const;
 
   size_t Active() const { return active_.size(); }
-  // Requests that the engines of a pool may be given by this instance at once.
+  // The number of requests that this instance may run on the engines of a pool
+  // at once.
   int64_t Capacity(const std::string& pool) const;
 
  private:
@@ -108,17 +109,19 @@
       const generation& item, std::vector<endpoint_view>& endpoints);
   void SendTo(generation& item, const endpoint_view& endpoint,
               const settings::pool_config& pool);
-  void TakeBytes(uint64_t id, uint64_t attempt, const std::string& bytes);
-  bool TakeChunk(generation& item, const rollout::generation_chunk& chunk);
-  void TakeEnd(uint64_t id, uint64_t attempt,
-               const transport::http_response& response);
+  void HandleBytes(uint64_t id, uint64_t attempt, const std::string& bytes);
+  bool AppendToGeneration(generation& item,
+                          const rollout::generation_chunk& chunk);
+  void HandleStreamEnd(uint64_t id, uint64_t attempt,
+                       const transport::http_response& response);
   void FinishAttempt(generation& item);
   void HandleFailure(generation& item, const std::string& reason,
                      bool is_engine_fault);
   void Requeue(generation& item, core::milliseconds pause);
   static quarantine::request_identity IdentityOf(const generation& item);
-  // Engines ended under it, so that it must wait: it has failed.
-  bool IsHeldBack(generation& item);
+  // Fails the request and returns true if it is quarantined because engines
+  // crashed while running it.
+  bool FailIfQuarantined(generation& item);
   void Complete(generation& item);
   void Fail(generation& item, const std::string& reason,
             core::milliseconds retry_after);
--- a/packages/hickoryd/generation_state.h
+++ b/packages/hickoryd/generation_state.h
@@ -1,8 +1,9 @@
 #ifndef HICKORYWOOD_HICKORYD_GENERATION_STATE_H_
 #define HICKORYWOOD_HICKORYD_GENERATION_STATE_H_
 
-// State shared by the two halves of generation_service: queueing and choice
-// (generation_service.cc) and the attempts at engines (generation_attempt.cc).
+// State shared by the two parts of generation_service: queueing and engine
+// choice (generation_service.cc), and the attempts on engines
+// (generation_attempt.cc).
 
 #include <cstdint>
 #include <string>
@@ -20,19 +21,20 @@
   rollout::generated_text generated;
   std::string finish_reason;
   bool is_queued = false;
-  core::time_point not_before{};  // while queued: dispatched from then on
+  core::time_point not_before{};  // while queued: earliest time of dispatch
   core::time_point arrived_at{};
   int failures = 0;
   bool was_maybe_sent = false;
   bool is_held_back = false;
-  std::string target;  // with the prompt, names what is asked for
+  std::string target;  // identifies the request together with the prompt
 
-  // The attempt under way.
+  // The current attempt.
   uint64_t attempt = 0;
-  uint64_t transfer = 0;  // id at the HTTP client; 0: none
+  uint64_t transfer = 0;  // id in the HTTP client; 0: none
   std::string engine;
-  membership::announcement announced;  // by the engine, when it was chosen
-  std::string attempt_id;              // request id as sent
+  membership::announcement
+      announced;           // the announcement of the engine when it was chosen
+  std::string attempt_id;  // request id sent to the engine
   int status = 0;
   bool has_end_mark = false;
   transport::completion_stream stream;
--- a/packages/hickoryd/peer_api.cc
+++ b/packages/hickoryd/peer_api.cc
@@ -185,7 +185,8 @@
         const auto news = DecodeBody<quarantine_news>(exchange);
         if (!news) return;
         RunOn(traffic, exchange, [this, news, exchange] {
-          ReplyJson(exchange, 200, core::Encode(parts_.quarantine.Take(*news)));
+          ReplyJson(exchange, 200,
+                    core::Encode(parts_.quarantine.ApplyUpdate(*news)));
         });
       };
   routes_["/peer/v1/pull"] = [this, &traffic](const exchange_ptr& exchange) {
