--- a/packages/hickoryd/body_holder.cc
+++ b/packages/hickoryd/body_holder.cc
@@ -8,9 +8,9 @@
 namespace {
 
 constexpr core::milliseconds kCopyTimeout{2000};
-constexpr core::milliseconds kAskTimeout{1000};
+constexpr core::milliseconds kFetchTimeout{1000};
 constexpr core::milliseconds kSweepPeriod{10000};
-// As long as the control state remembers a step.
+// As long as the control state keeps a step.
 constexpr core::milliseconds kIdleTime = std::chrono::hours(6);
 
 }  // namespace
@@ -25,7 +25,7 @@
   });
 }
 
-bool body_holder::Take(const held_bodies& bodies) {
+bool body_holder::Apply(const held_bodies& bodies) {
   const core::time_point now = context_.clock.Now();
   if (bodies.is_step_dropped) {
     rollout::DropStep(store_, bodies.step_key);
@@ -70,7 +70,7 @@
 void body_holder::CopyTo(const std::string& peer, const held_bodies& bodies,
                          std::function<void(bool)> done) {
   context_.links.Call(
-      peer, kHoldPath, core::Encode(bodies), kCopyTimeout,
+      peer, kStorePath, core::Encode(bodies), kCopyTimeout,
       [this, done = std::move(done)](const transport::http_response& response) {
         const bool is_held = response.how == transport::delivery::kAnswered &&
                              response.status == 200;
@@ -78,10 +78,10 @@
       });
 }
 
-void body_holder::Ask(const std::string& peer, const std::string& step_key,
-                      std::function<void(std::optional<held_bodies>)> done) {
+void body_holder::Fetch(const std::string& peer, const std::string& step_key,
+                        std::function<void(std::optional<held_bodies>)> done) {
   context_.links.Call(
-      peer, kAskPath, core::Encode(held_question{step_key}), kAskTimeout,
+      peer, kFetchPath, core::Encode(held_question{step_key}), kFetchTimeout,
       [this, done = std::move(done)](const transport::http_response& response) {
         std::optional<held_bodies> bodies;
         if (response.how == transport::delivery::kAnswered &&
--- a/packages/hickoryd/body_holder.h
+++ b/packages/hickoryd/body_holder.h
@@ -1,8 +1,8 @@
 #ifndef HICKORYWOOD_HICKORYD_BODY_HOLDER_H_
 #define HICKORYWOOD_HICKORYD_BODY_HOLDER_H_
 
-// Holds step specs and sample bodies, and copies them to an instance in another
-// availability zone. On the traffic thread.
+// Stores step specs and sample bodies, and copies them to an instance in
+// another availability zone. Runs on the traffic thread.
 
 #include <functional>
 #include <map>
@@ -21,8 +21,8 @@
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(held_sample, slot, body)
 
-// A copy, an order to drop, or the answer to a question for what is held of a
-// step.
+// A copy to store, a request to remove bodies, or the response to
+// held_question.
 struct held_bodies {
   std::string step_key;
   std::string spec;  // empty: unchanged
@@ -45,37 +45,37 @@
 
   void Start();
 
-  // Takes what this instance or another one wants held. False when there is no
-  // room.
-  bool Take(const held_bodies& bodies);
+  // Applies the changes from this instance or another one. False when the store
+  // is full.
+  bool Apply(const held_bodies& bodies);
 
-  // What is held of a step; empty spec: nothing.
+  // The stored bodies of a step; the spec is empty if there are none.
   held_bodies Get(const std::string& step_key) const;
 
   const std::string* FindSample(const std::string& step_key,
                                 int64_t slot) const;
 
-  // Copies to another instance; `done` on the traffic thread with whether it is
-  // held there.
+  // Sends a copy to another instance. `done` runs on the traffic thread and
+  // receives whether that instance stored it.
   void CopyTo(const std::string& peer, const held_bodies& bodies,
               std::function<void(bool)> done);
 
-  // Asks another instance; `done` on the traffic thread.
-  void Ask(const std::string& peer, const std::string& step_key,
-           std::function<void(std::optional<held_bodies>)> done);
+  // Requests the stored bodies of another instance. `done` runs on the traffic
+  // thread; empty: no response.
+  void Fetch(const std::string& peer, const std::string& step_key,
+             std::function<void(std::optional<held_bodies>)> done);
 
-  // The instance to hold second copies: alive, not stopping, in another zone if
-  // there is one. Empty when no other instance is alive.
+  // The instance that stores second copies: alive, not draining, and in another
+  // zone if there is one. Empty when no other instance is alive.
   std::string ChooseBackup(const std::string& seed) const;
 
-  // Whether the fleet has no other instance at all, so that there is nowhere to
-  // copy to.
+  // Whether the fleet has no other instance, so that copies are impossible.
   bool IsAlone() const { return context_.settings.peers.empty(); }
 
   size_t Bytes() const { return store_.bytes; }
 
-  static constexpr char kHoldPath[] = "/peer/v1/bodies";
-  static constexpr char kAskPath[] = "/peer/v1/held";
+  static constexpr char kStorePath[] = "/peer/v1/bodies";
+  static constexpr char kFetchPath[] = "/peer/v1/held";
 
  private:
   instance_context& context_;
--- a/packages/hickoryd/call_service.cc
+++ b/packages/hickoryd/call_service.cc
@@ -21,7 +21,7 @@
 using transport::delivery;
 using transport::http_response;
 
-constexpr int kMostAttempts = 4;
+constexpr int kMaxAttempts = 4;
 constexpr milliseconds kClaimLimit{3000};
 constexpr milliseconds kRetryAfter{1000};
 constexpr milliseconds kInProgressRetryAfter{500};
@@ -29,17 +29,17 @@
 constexpr int kStatusBadGateway = 502;
 constexpr int kStatusUnavailable = 503;
 constexpr int kStatusTimeout = 504;
-constexpr char kNotRunWord[] = "not_run";
+constexpr char kNotRunOutcome[] = "not_run";
 constexpr char kRequestIdHeader[] = "X-Request-Id";
 
-bool SaysNotRun(const http_response& response) {
+bool ReportsNotRun(const http_response& response) {
   return response.how == delivery::kAnswered &&
-         response.Header(kOutcomeHeader) == kNotRunWord;
+         response.Header(kOutcomeHeader) == kNotRunOutcome;
 }
 
-// Whether the answer's end can be told. Without a length or chunks a cut answer
-// looks like a whole one.
-bool HasCheckedEnd(const http_response& response) {
+// Whether the end of the response is verifiable. Without a length or chunked
+// encoding a truncated response looks like a complete one.
+bool HasVerifiableEnd(const http_response& response) {
   constexpr int kNoContent = 204;
   constexpr int kNotModified = 304;
   if (response.status == kNoContent || response.status == kNotModified) {
@@ -77,11 +77,11 @@
   settings::service_config config;
   settings::routing_config routing;
   repeatability kind = repeatability::kIdempotent;
-  core::time_point give_up_at{};
+  core::time_point call_deadline{};
   int attempts = 0;
-  membership::announcement endpoint;  // of the attempt under way
+  membership::announcement endpoint;  // of the current attempt
   std::string attempt_id;
-  std::string nonce;  // of the claim; empty: none held
+  std::string nonce;  // of the claim; empty: the call has no claim
   std::string claim_key;
   std::set<std::string> tried;
   bool was_maybe_sent = false;
@@ -123,7 +123,7 @@
   running->config = service->second;
   running->routing = view->config->routing;
   running->kind = Classify(service->second, running->call);
-  running->give_up_at = now + service->second.timeout;
+  running->call_deadline = now + service->second.timeout;
   budgets_[running->call.service].share = running->routing.retry_budget;
   const bool needs_claim = running->kind == repeatability::kNonIdempotent &&
                            !running->call.idempotency_key.empty();
@@ -149,7 +149,7 @@
   const bool is_queued = leader_.Propose(
       input, kClaimLimit, [this, call](const proposal_answer& answer) {
         context_.traffic.Post(
-            [this, call, answer] { TakeClaimAnswer(call, answer); });
+            [this, call, answer] { HandleClaimAnswer(call, answer); });
       });
   if (!is_queued) {
     call->nonce.clear();
@@ -157,11 +157,11 @@
   }
 }
 
-void call_service::TakeClaimAnswer(const call_ptr& call,
-                                   const proposal_answer& answer) {
+void call_service::HandleClaimAnswer(const call_ptr& call,
+                                     const proposal_answer& answer) {
   if (answer.status != proposal_status::kDone) {
-    // The claim may be committed later, but nothing was sent and nothing will
-    // be under this nonce.
+    // The claim may still be committed later, but no request was sent and none
+    // will be sent under this nonce.
     service_answer failure;
     failure.reason = "the control group can't be reached";
     failure.retry_after = kRetryAfter;
@@ -209,20 +209,20 @@
 
 void call_service::Attempt(const call_ptr& call) {
   const core::time_point now = context_.clock.Now();
-  // A process that was frozen while its claim was decided wakes up here, when
-  // the caller has long been told otherwise and the claim may even have been
-  // forgotten.
-  if (now >= call->give_up_at) {
+  // A process that was suspended while its claim was decided resumes here. By
+  // then the caller has received another outcome, and the claim may have
+  // expired.
+  if (now >= call->call_deadline) {
     service_answer failure;
     failure.outcome = OutcomeWithoutAnswer(*call);
-    failure.reason = "the time of the call is over";
+    failure.reason = "the timeout of the call has expired";
     failure.failure_status = kStatusTimeout;
     Settle(call, failure);
     return;
   }
   const quarantine::verdict verdict = quarantine_.Check(IdentityOf(call->call));
   if (verdict.standing == quarantine::request_standing::kQuarantined) {
-    HoldBack(call, verdict.left);
+    FailAsQuarantined(call, verdict.left);
     return;
   }
   const std::optional<membership::announcement> chosen = Choose(call);
@@ -237,10 +237,11 @@
   SendTo(call, *chosen);
 }
 
-void call_service::HoldBack(const call_ptr& call, milliseconds left) {
+void call_service::FailAsQuarantined(const call_ptr& call, milliseconds left) {
   service_answer failure;
   failure.outcome = OutcomeWithoutAnswer(*call);
-  failure.reason = "endpoints ended under this request, it is held back";
+  failure.reason =
+      "endpoints crashed while running this request; it is held back";
   failure.failure_status = failure.outcome == request_outcome::kNotRun
                                ? kStatusTooMany
                                : kStatusBadGateway;
@@ -248,8 +249,8 @@
   Settle(call, failure);
 }
 
-// Endpoints that this call has not tried go first; with none of them left, the
-// others may have a second try.
+// Prefers endpoints that this call has not tried. When all were tried, they may
+// be tried again.
 std::optional<membership::announcement> call_service::Choose(
     const call_ptr& call) {
   const core::time_point now = context_.clock.Now();
@@ -288,13 +289,13 @@
   return announced[*chosen];
 }
 
-// What may be repeated gets half of the time that is left for one try, so that
-// an endpoint or a connection that went silent leaves time for another.
-milliseconds call_service::TryTimeout(const running_call& call) const {
+// An attempt of a repeatable call gets half of the remaining time, which leaves
+// time for a retry when an endpoint or a connection becomes unresponsive.
+milliseconds call_service::AttemptTimeout(const running_call& call) const {
   const auto left = std::chrono::duration_cast<milliseconds>(
-      call.give_up_at - context_.clock.Now());
+      call.call_deadline - context_.clock.Now());
   const bool may_retry =
-      call.kind == repeatability::kIdempotent && call.attempts < kMostAttempts;
+      call.kind == repeatability::kIdempotent && call.attempts < kMaxAttempts;
   return std::max(milliseconds(1), may_retry ? left / 2 : left);
 }
 
@@ -314,25 +315,26 @@
   request.name = {kRequestIdHeader, call->attempt_id};
   request.body = call->call.body;
   request.connect_timeout = call->routing.connect_timeout;
-  request.total_timeout = TryTimeout(*call);
+  request.total_timeout = AttemptTimeout(*call);
   request.is_single_shot = call->kind != repeatability::kIdempotent;
   request.needs_fresh_connection = routing::NeedsFreshConnection(
       suspicion_, endpoint.id, context_.clock.Now());
   context_.client.Send(
       std::move(request), [this, call](const http_response& response) {
         context_.traffic.Post(
-            [this, call, response] { TakeResponse(call, response); });
+            [this, call, response] { HandleResponse(call, response); });
       });
 }
 
-void call_service::TakeResponse(const call_ptr& call,
-                                const http_response& response) {
+void call_service::HandleResponse(const call_ptr& call,
+                                  const http_response& response) {
   --stats_[call->endpoint.id].outstanding;
   if (response.is_timeout) {
     routing::NoteSilence(suspicion_, call->endpoint.id, context_.clock.Now());
   }
-  if (SaysNotRun(response)) {
-    HandleFailure(call, response, "the endpoint says that it did not run");
+  if (ReportsNotRun(response)) {
+    HandleFailure(call, response,
+                  "the endpoint reported that the request did not run");
     return;
   }
   if (response.how != delivery::kNotSent) call->was_maybe_sent = true;
@@ -345,8 +347,9 @@
     HandleFailure(call, response, response.error);
     return;
   }
-  if (!HasCheckedEnd(response)) {
-    HandleFailure(call, response, "the answer's end can't be checked");
+  if (!HasVerifiableEnd(response)) {
+    HandleFailure(call, response,
+                  "the response has neither a length nor chunked encoding");
     return;
   }
   const bool is_gateway_error =
@@ -387,16 +390,17 @@
              {{"endpoint", call->endpoint.id}, {"reason", reason}});
   }
   const bool did_not_run =
-      response.how == delivery::kNotSent || SaysNotRun(response);
-  // One more end holds the call back, and whether this was one shows later.
-  const bool may_have_ended = response.how == delivery::kMaybeSent;
+      response.how == delivery::kNotSent || ReportsNotRun(response);
+  // The endpoint may have crashed, which is confirmed only later. One more
+  // crash would quarantine a suspected call, so it is not repeated now.
+  const bool may_have_crashed = response.how == delivery::kMaybeSent;
   const bool must_wait =
-      may_have_ended && quarantine_.Check(IdentityOf(call->call)).standing !=
-                            quarantine::request_standing::kClear;
+      may_have_crashed && quarantine_.Check(IdentityOf(call->call)).standing !=
+                              quarantine::request_standing::kClear;
   const bool may_repeat =
       did_not_run || (call->kind == repeatability::kIdempotent && !must_wait);
   const bool has_time =
-      now < call->give_up_at && call->attempts < kMostAttempts;
+      now < call->call_deadline && call->attempts < kMaxAttempts;
   if (may_repeat && has_time &&
       routing::TakeRetry(budgets_[call->call.service])) {
     context_.counters.CountRetry(call->call.service);
@@ -416,8 +420,9 @@
   Settle(call, failure);
 }
 
-// Records the outcome of a claimed call before its caller hears of it: a repeat
-// that comes right after the answer, through any instance, must find it.
+// Records the outcome of a claimed call before its caller receives the
+// response: a repeated call right after the response, through any instance,
+// must find the record.
 void call_service::Settle(const call_ptr& call, const service_answer& answer) {
   if (call->nonce.empty()) {
     End(call, answer);
--- a/packages/hickoryd/call_service.h
+++ b/packages/hickoryd/call_service.h
@@ -1,8 +1,8 @@
 #ifndef HICKORYWOOD_HICKORYD_CALL_SERVICE_H_
 #define HICKORYWOOD_HICKORYD_CALL_SERVICE_H_
 
-// Calls to plain services: routing, retries of what may be repeated, and claims
-// for what may not. On the traffic thread.
+// Calls to plain services: routing, retries of calls that may be repeated, and
+// claims for calls that may not. Runs on the traffic thread.
 
 #include <functional>
 #include <map>
@@ -20,28 +20,28 @@
 
 namespace hickorywood::hickoryd {
 
-// May the call be sent a second time after it may have arrived?
+// Whether the call may be sent again after it may have reached an endpoint.
 enum class repeatability { kIdempotent, kUnmarked, kNonIdempotent };
 
 struct service_call {
-  std::string id;  // of the request
+  std::string id;  // request id
   std::string service;
   std::string method;
   std::string target;  // path at the service, with the query
   std::vector<transport::http_header> headers;
   std::string body;
-  std::string idempotency_key;  // empty: none given
+  std::string idempotency_key;  // empty: the caller sent none
   std::string caller_mark;      // value of the header Hickory-Idempotent
 };
 
 struct service_answer {
-  bool is_answered =
-      false;  // by the service; else the fields of a failure count
+  // True if the service answered; otherwise the fields of a failure apply.
+  bool is_answered = false;
   int status = 0;
   std::string content_type;
   std::vector<transport::http_header> headers;
   std::string body;
-  bool is_recorded = false;  // the recorded answer of an earlier attempt
+  bool is_recorded = false;  // recorded response of an earlier attempt
 
   request_outcome outcome = request_outcome::kNotRun;
   std::string reason;
@@ -49,9 +49,9 @@
   core::milliseconds retry_after{0};
 };
 
-// Reads the mark off the configured routes and the caller's header. A call that
-// nobody marked counts by its method: what is not idempotent in HTTP is not
-// sent twice.
+// Classifies the call by the configured routes, then by the caller's header. A
+// call without a mark is classified by its method: one that is not idempotent
+// in HTTP is not sent twice.
 repeatability Classify(const settings::service_config& config,
                        const service_call& call);
 
@@ -70,19 +70,20 @@
   struct running_call;
   using call_ptr = std::shared_ptr<running_call>;
 
-  // What can be said of a call that no endpoint has answered.
+  // The outcome of a call that no endpoint has answered.
   static request_outcome OutcomeWithoutAnswer(const running_call& call);
   void Claim(const call_ptr& call);
-  void TakeClaimAnswer(const call_ptr& call,
-                       const control::proposal_answer& answer);
+  void HandleClaimAnswer(const call_ptr& call,
+                         const control::proposal_answer& answer);
   void Attempt(const call_ptr& call);
-  // Endpoints ended under the call, so that it must wait.
-  void HoldBack(const call_ptr& call, core::milliseconds left);
+  // Fails a call that is quarantined because endpoints crashed while running
+  // it; `left` is the remaining quarantine time.
+  void FailAsQuarantined(const call_ptr& call, core::milliseconds left);
   std::optional<membership::announcement> Choose(const call_ptr& call);
-  core::milliseconds TryTimeout(const running_call& call) const;
+  core::milliseconds AttemptTimeout(const running_call& call) const;
   void SendTo(const call_ptr& call, const membership::announcement& endpoint);
-  void TakeResponse(const call_ptr& call,
-                    const transport::http_response& response);
+  void HandleResponse(const call_ptr& call,
+                      const transport::http_response& response);
   void HandleFailure(const call_ptr& call,
                      const transport::http_response& response,
                      const std::string& reason);
--- a/packages/hickoryd/generation_attempt.cc
+++ b/packages/hickoryd/generation_attempt.cc
@@ -208,7 +208,7 @@
   if (verdict.standing != quarantine::request_standing::kQuarantined) {
     return false;
   }
-  item.is_held_back = true;
+  item.was_quarantined = true;
   Fail(item, "engines crashed while running this request; it is held back",
        verdict.left);
   return true;
@@ -217,7 +217,7 @@
 void generation_service::Fail(generation& item, const std::string& reason,
                               core::milliseconds retry_after) {
   generation_result result;
-  result.is_held_back = item.is_held_back;
+  result.was_quarantined = item.was_quarantined;
   result.generated = item.generated;
   result.reason = reason;
   result.retry_after = retry_after;
--- a/packages/hickoryd/generation_service.h
+++ b/packages/hickoryd/generation_service.h
@@ -53,7 +53,7 @@
   request_outcome outcome = request_outcome::kNotRun;
   std::string reason;
   core::milliseconds retry_after{0};  // 0: a retry does not help
-  bool is_held_back = false;          // engines crashed while running it
+  bool was_quarantined = false;       // engines crashed while running it
 };
 
 struct generation_callbacks {
--- a/packages/hickoryd/generation_state.h
+++ b/packages/hickoryd/generation_state.h
@@ -25,7 +25,7 @@
   core::time_point arrived_at{};
   int failures = 0;
   bool was_maybe_sent = false;
-  bool is_held_back = false;
+  bool was_quarantined = false;
   std::string target;  // identifies the request together with the prompt
 
   // The current attempt.
--- a/packages/hickoryd/leader_client.cc
+++ b/packages/hickoryd/leader_client.cc
@@ -24,7 +24,7 @@
   std::string body;
   control::command input;
   step_question question;
-  core::time_point give_up_at{};
+  core::time_point retry_until{};
   core::milliseconds try_timeout{kTryTimeout};
   std::function<void(proposal_answer)> on_proposal;
   std::function<void(std::optional<step_answer>)> on_step;
@@ -44,7 +44,7 @@
   call->path = kProposePath;
   call->body = core::Encode(input);
   call->input = std::move(input);
-  call->give_up_at = context_.clock.Now() + limit;
+  call->retry_until = context_.clock.Now() + limit;
   call->on_proposal = std::move(done);
   return Begin(call);
 }
@@ -55,7 +55,7 @@
   call->path = kSubmitPath;
   call->body = core::Encode(input);
   call->input = std::move(input);
-  call->give_up_at = context_.clock.Now() + limit;
+  call->retry_until = context_.clock.Now() + limit;
   call->try_timeout = kSubmitTryTimeout;
   call->on_proposal = std::move(done);
   return Begin(call);
@@ -68,7 +68,7 @@
   call->path = kStepPath;
   call->question = {pool, step};
   call->body = core::Encode(call->question);
-  call->give_up_at = context_.clock.Now() + limit;
+  call->retry_until = context_.clock.Now() + limit;
   call->on_step = std::move(done);
   return Begin(call);
 }
@@ -116,7 +116,7 @@
     return;
   }
   const auto left = std::chrono::duration_cast<core::milliseconds>(
-      call->give_up_at - context_.clock.Now());
+      call->retry_until - context_.clock.Now());
   const core::milliseconds timeout =
       std::clamp(left, core::milliseconds(1), call->try_timeout);
   context_.links.Call(
@@ -154,7 +154,7 @@
     return;
   }
   NoteLeader(call->target, answer.leader);
-  if (context_.clock.Now() >= call->give_up_at) {
+  if (context_.clock.Now() >= call->retry_until) {
     call->on_proposal(answer);
     return;
   }
@@ -169,7 +169,7 @@
     return;
   }
   NoteLeader(call->target, answer.leader);
-  if (context_.clock.Now() >= call->give_up_at) {
+  if (context_.clock.Now() >= call->retry_until) {
     call->on_step(std::nullopt);
     return;
   }
--- a/packages/hickoryd/peer_api.cc
+++ b/packages/hickoryd/peer_api.cc
@@ -162,17 +162,17 @@
 
 void peer_api::AddTrafficRoutes() {
   core::event_loop& traffic = parts_.context.traffic;
-  routes_[body_holder::kHoldPath] = [this,
-                                     &traffic](const exchange_ptr& exchange) {
+  routes_[body_holder::kStorePath] = [this,
+                                      &traffic](const exchange_ptr& exchange) {
     const auto bodies = DecodeBody<held_bodies>(exchange);
     if (!bodies) return;
     RunOn(traffic, exchange, [this, bodies, exchange] {
-      const bool is_held = parts_.bodies.Take(*bodies);
+      const bool is_held = parts_.bodies.Apply(*bodies);
       ReplyJson(exchange, is_held ? 200 : 507, "{}");
     });
   };
-  routes_[body_holder::kAskPath] = [this,
-                                    &traffic](const exchange_ptr& exchange) {
+  routes_[body_holder::kFetchPath] = [this,
+                                      &traffic](const exchange_ptr& exchange) {
     const auto question = DecodeBody<held_question>(exchange);
     if (!question) return;
     RunOn(traffic, exchange, [this, question, exchange] {
--- a/packages/hickoryd/step_delivery.cc
+++ b/packages/hickoryd/step_delivery.cc
@@ -1,5 +1,5 @@
-// Delivering a step's samples: batches behind cursors, committed before they
-// are sent.
+// Delivers the samples of a step in batches. Each batch has a cursor and is
+// committed before it is sent.
 
 #include <algorithm>
 #include <optional>
@@ -56,11 +56,11 @@
   Acknowledge(step, committed);
   const bool is_late = rollout::IsPastDeadline(step->run, context_.clock.Now());
   if (rollout::IsAllDelivered(step->run)) {
-    EndStep(step, pull, kEndWhole);
+    EndStep(step, pull, kEndComplete);
     return;
   }
   if (is_late && !step->run.spec.allow_partial) {
-    EndStep(step, pull, kEndMissed);
+    EndStep(step, pull, kEndDeadlineMissed);
     return;
   }
   const std::vector<int64_t> slots = FormBatch(step, pull);
@@ -80,7 +80,7 @@
   step->pulls.push_back(pull);
 }
 
-// The slots to deliver now; stale samples are thrown away on the way.
+// Returns the slots to deliver now and discards stale samples.
 std::vector<int64_t> step_service::FormBatch(const step_ptr& step,
                                              const waiting_pull& pull) {
   const auto view = context_.board.Get();
@@ -89,7 +89,7 @@
   const int64_t version =
       CurrentVersion(step->run.spec.pool, step->trainer_version);
   const auto limit = static_cast<size_t>(
-      std::clamp<int64_t>(pull.request.max_samples, 1, kMostBatch));
+      std::clamp<int64_t>(pull.request.max_samples, 1, kMaxBatchSamples));
   rollout::formed_batch batch =
       rollout::FormBatch(step->run, version, pool->staleness_bound, limit);
   for (const int64_t slot : batch.discarded) {
@@ -100,8 +100,9 @@
   return std::move(batch.slots);
 }
 
-// The end is committed before it is told: a trainer that asks again right after
-// the answer would otherwise find an open step without its bodies.
+// Commits the end of the step before it is reported. Otherwise a trainer that
+// repeats its pull right after the response would find an open step without
+// bodies.
 void step_service::EndStep(const step_ptr& step, const waiting_pull& pull,
                            int end_status) {
   step->is_committing = true;
@@ -131,9 +132,9 @@
                          kPullRetryAfter));
 }
 
-// The same cursor gives the same bytes. Only if the trainer has moved on so far
-// that a sample of the batch is stale by now, the batch is withheld: the
-// staleness bound holds at each delivery.
+// The same cursor returns the same bytes. The batch is withheld only if one of
+// its samples has become stale for the current version of the trainer, because
+// the staleness bound applies to each delivery.
 void step_service::ServeRepeat(const step_ptr& step, const waiting_pull& pull) {
   const uint64_t cursor = pull.request.cursor;
   if (cursor == 0 || cursor < step->batches.size()) {
@@ -143,7 +144,7 @@
     return;
   }
   const control::batch_record& batch = step->batches.back();
-  if (step->last) bodies_.Take(step->last->bodies);
+  if (step->last) bodies_.Apply(step->last->bodies);
   const std::optional<std::string> body = BatchBody(step, batch);
   if (body && HasStaleSample(step, batch, pull.request.trainer_version)) {
     AnswerPull(
@@ -165,7 +166,7 @@
                                 milliseconds(0)));
 }
 
-// All bodies of the batch must be held here.
+// All bodies of the batch must be stored on this instance.
 bool step_service::HasStaleSample(const step_ptr& step,
                                   const control::batch_record& batch,
                                   int64_t trainer_version) const {
@@ -215,7 +216,7 @@
       input, kCommitLimit,
       [this, step, pull, batch](const proposal_answer& answer) {
         context_.traffic.Post([this, step, pull, batch, answer] {
-          TakeCommitAnswer(step, pull, batch, answer);
+          HandleCommitAnswer(step, pull, batch, answer);
         });
       });
   if (!is_queued) {
@@ -225,7 +226,7 @@
   }
 }
 
-void step_service::TakeCommitAnswer(
+void step_service::HandleCommitAnswer(
     const step_ptr& step, const waiting_pull& pull,
     const std::shared_ptr<const proposed_batch>& batch,
     const proposal_answer& answer) {
@@ -236,8 +237,9 @@
     return;
   }
   if (answer.status != proposal_status::kDone) {
-    // Not known whether it was committed. It is proposed again until that is
-    // known; the pull's caller may come back with the same cursor meanwhile.
+    // It is unknown whether the batch was committed. It is proposed again until
+    // the outcome is known; the caller may repeat the pull with the same cursor
+    // meanwhile.
     pull.done(FailureReply(503, "unknown", "the control group can't be reached",
                            kPullRetryAfter));
     waiting_pull nobody = pull;
@@ -256,14 +258,14 @@
     return;
   }
   step->batches.push_back(answer.result.batch);
-  NoteDelivery(step, answer.result.batch);
+  RecordDelivery(step, answer.result.batch);
   step->last = batch;
-  bodies_.Take(batch->bodies);
+  bodies_.Apply(batch->bodies);
   AnswerBatch(step, pull, BatchBody(step, answer.result.batch));
   ServePulls(step);
 }
 
-// The trainer has the batch: its bodies are not needed any more.
+// The trainer has received the batch, so its bodies are no longer needed.
 void step_service::Acknowledge(const step_ptr& step, uint64_t cursor) {
   if (cursor == 0 || cursor <= step->acknowledged) return;
   step->acknowledged = cursor;
@@ -271,7 +273,7 @@
   held_bodies drop;
   drop.step_key = step->key;
   drop.dropped = step->batches[cursor - 1].slots;
-  bodies_.Take(drop);
+  bodies_.Apply(drop);
   if (!step->backup.empty()) {
     bodies_.CopyTo(step->backup, drop, [](bool /*is_held*/) {});
   }
@@ -291,8 +293,8 @@
          samples + R"(],"done":false})";
 }
 
-void step_service::NoteDelivery(const step_ptr& step,
-                                const control::batch_record& batch) {
+void step_service::RecordDelivery(const step_ptr& step,
+                                  const control::batch_record& batch) {
   const auto view = context_.board.Get();
   const double fresh_versions =
       view->config ? view->config->objectives.staleness_versions : 0;
@@ -328,9 +330,9 @@
 }
 
 void step_service::Close(const step_ptr& step, int end_status) {
-  const bool is_whole = end_status == kEndWhole;
+  const bool is_complete_end = end_status == kEndComplete;
   rollout::AddBurn(burn_, rollout::objective::kStepsOnTime, step->run.spec.pool,
-                   is_whole ? 1 : 0, is_whole ? 0 : 1, "deadline",
+                   is_complete_end ? 1 : 0, is_complete_end ? 0 : 1, "deadline",
                    context_.clock.WallNow());
   const double total =
       static_cast<double>(std::max<int64_t>(1, step->run.tokens_generated));
@@ -343,7 +345,7 @@
   held_bodies drop;
   drop.step_key = step->key;
   drop.is_step_dropped = true;
-  bodies_.Take(drop);
+  bodies_.Apply(drop);
   if (!step->backup.empty()) {
     bodies_.CopyTo(step->backup, drop, [](bool /*is_held*/) {});
   }
--- a/packages/hickoryd/step_service.cc
+++ b/packages/hickoryd/step_service.cc
@@ -16,10 +16,11 @@
 
 constexpr milliseconds kRunPeriod{20};
 constexpr milliseconds kFailedSamplePause{100};
-// A sample that is held back is looked at again, since it may be cleared.
-constexpr milliseconds kHeldBackPause{5000};
-// Generations of one step that may wait in the pool's queue beyond what the
-// engines hold.
+// Retry interval of a quarantined sample, which may have been cleared
+// meanwhile.
+constexpr milliseconds kQuarantinedPause{5000};
+// Generations of one step that may be queued in the pool in addition to those
+// that its engines can run.
 constexpr int64_t kQueuedBeyondCapacity = 16;
 
 }  // namespace
@@ -107,26 +108,26 @@
     rollout::NoteProgress(step->run, launch.slot, launch.attempt, so_far);
   };
   callbacks.on_done = [this, step, launch](const generation_result& result) {
-    TakeSample(step, launch, result);
+    HandleSampleResult(step, launch, result);
   };
   step->generations[launch.attempt] = 0;
   const uint64_t id =
       generations_.Begin(std::move(request), std::move(callbacks));
-  // A generation that was refused at once has ended already.
+  // A generation that was rejected immediately has finished already.
   const auto running = step->generations.find(launch.attempt);
   if (running != step->generations.end()) running->second = id;
 }
 
-void step_service::TakeSample(const step_ptr& step,
-                              const rollout::launch& launch,
-                              const generation_result& result) {
+void step_service::HandleSampleResult(const step_ptr& step,
+                                      const rollout::launch& launch,
+                                      const generation_result& result) {
   step->generations.erase(launch.attempt);
   if (step->is_dropped) return;
   const core::time_point now = context_.clock.Now();
   if (!result.is_complete || !rollout::IsLabelComplete(result.generated)) {
     rollout::NoteFailed(
         step->run, launch.slot, launch.attempt, now,
-        result.is_held_back ? kHeldBackPause : kFailedSamplePause);
+        result.was_quarantined ? kQuarantinedPause : kFailedSamplePause);
     return;
   }
   rollout::sample sample;
@@ -147,9 +148,9 @@
   held_bodies bodies;
   bodies.step_key = step->key;
   bodies.samples.push_back({sample.slot, core::Encode(sample)});
-  if (!bodies_.Take(bodies)) {
-    // No room: the sample waits for its turn again rather than being delivered
-    // from one copy.
+  if (!bodies_.Apply(bodies)) {
+    // The body store is full. The sample is generated again later, since it
+    // must not be delivered from a single copy.
     step->run.slots[static_cast<size_t>(sample.slot)].state =
         rollout::slot_state::kRunning;
     rollout::NoteFailed(step->run, sample.slot, launch.attempt, now,
@@ -160,7 +161,7 @@
   LaunchSamples(step);
 }
 
-// Copies complete samples to the second holder, in one message at a time.
+// Copies complete samples to the second holder, one message at a time.
 void step_service::Replicate(const step_ptr& step) {
   if (step->to_replicate.empty() || step->is_copying) return;
   if (bodies_.IsAlone()) {
@@ -175,8 +176,8 @@
   const bool has_new_backup = step->backup.empty();
   if (has_new_backup) {
     step->backup = bodies_.ChooseBackup(step->key);
-    if (step->backup.empty()) return;  // nobody is alive; tried again
-    copy = bodies_.Get(step->key);     // all that is not delivered yet
+    if (step->backup.empty()) return;  // no live peer; retried later
+    copy = bodies_.Get(step->key);     // all that is undelivered
   } else {
     for (const int64_t slot : step->to_replicate) {
       const std::string* body = bodies_.FindSample(step->key, slot);
@@ -219,8 +220,8 @@
     pull.request = request;
     pull.done = std::move(done);
     pull.arrived_at = now;
-    pull.answer_at = now + milliseconds(std::clamp<int64_t>(request.wait_ms, 0,
-                                                            kLongestWaitMs));
+    pull.answer_at =
+        now + milliseconds(std::clamp<int64_t>(request.wait_ms, 0, kMaxWaitMs));
     step->pulls.push_back(std::move(pull));
     ServePulls(step);
     return;
--- a/packages/hickoryd/step_service.h
+++ b/packages/hickoryd/step_service.h
@@ -1,10 +1,10 @@
 #ifndef HICKORYWOOD_HICKORYD_STEP_SERVICE_H_
 #define HICKORYWOOD_HICKORYD_STEP_SERVICE_H_
 
-// Coordinates the steps that trainers opened: generates the samples, keeps each
-// body in two availability zones, commits the batch behind each cursor before
-// it is sent, takes over steps whose coordinator is gone. On the traffic
-// thread.
+// Coordinates the steps that trainers opened: generates the samples, stores
+// each body in two availability zones, commits the batch of each cursor before
+// sending it, and takes over steps whose coordinator is unreachable or has
+// terminated. Runs on the traffic thread.
 
 #include <functional>
 #include <map>
@@ -26,12 +26,14 @@
 struct pull_request {
   std::string pool;
   std::string step;
-  uint64_t cursor = 1;  // of the batch wanted; asking for n acknowledges n - 1
-  int64_t trainer_version = 0;  // weight version that the trainer is at
+  uint64_t cursor =
+      1;  // of the requested batch; requesting n acknowledges n - 1
+  int64_t trainer_version = 0;  // current weight version of the trainer
   int64_t max_samples = 64;
-  int64_t wait_ms = 1000;  // longest wait for a batch; then an empty one
-  bool is_forwarded =
-      false;  // by another instance: answer "not here" instead of taking over
+  int64_t wait_ms = 1000;  // an empty batch is returned after this time
+  // Forwarded by another instance. If the step is not coordinated here, the
+  // request fails with 404 instead of taking the step over.
+  bool is_forwarded = false;
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(pull_request, pool, step,
                                                 cursor, trainer_version,
@@ -58,11 +60,11 @@
   void Open(const rollout::step_spec& spec, const completion& done);
   void Pull(const pull_request& request, completion done);
 
-  // Steps that this instance coordinates now.
+  // The number of steps that this instance currently coordinates.
   size_t Active() const { return steps_.size(); }
 
-  // Planned stop: stops generating and answers waiting pulls; others take the
-  // steps over.
+  // Planned stop: cancels the generations and answers waiting pulls. Other
+  // instances take the steps over.
   void Release();
 
  private:
@@ -72,36 +74,37 @@
   struct take_over;
   using step_ptr = std::shared_ptr<coordinated_step>;
 
-  // Opening and taking over.
+  // Opening steps and taking them over.
   void ProposeOpen(const std::string& key, const rollout::step_spec& spec,
                    const std::string& backup, const completion& done);
   void FindCoordinator(const pull_request& request, const completion& done,
-                       core::time_point give_up_at);
+                       core::time_point retry_until);
   void ForwardOrTakeOver(const pull_request& request, const completion& done,
                          const control::step_record& record,
-                         core::time_point give_up_at);
+                         core::time_point retry_until);
   void Forward(const pull_request& request, const completion& done,
                const std::string& coordinator,
-               const control::step_record& record, core::time_point give_up_at);
+               const control::step_record& record,
+               core::time_point retry_until);
   void TakeOver(const pull_request& request, const completion& done,
                 const control::step_record& record,
-                core::time_point give_up_at);
-  void GatherBodies(const std::shared_ptr<take_over>& work);
+                core::time_point retry_until);
+  void CollectBodies(const std::shared_ptr<take_over>& work);
   void ProposeTakeOver(const std::shared_ptr<take_over>& work);
   void ReadAfterTakeOver(const std::shared_ptr<take_over>& work,
                          uint64_t epoch);
   void Adopt(const std::shared_ptr<take_over>& work, uint64_t epoch,
              const control::step_record& record);
-  void HoldLastBatch(const take_over& work, coordinated_step& step);
-  void TryLater(const pull_request& request, const completion& done,
-                core::time_point give_up_at);
+  void StoreLastBatch(const take_over& work, coordinated_step& step);
+  void RetryFindCoordinator(const pull_request& request, const completion& done,
+                            core::time_point retry_until);
 
-  // Running.
+  // Running steps.
   void RunSteps();
   void LaunchSamples(const step_ptr& step);
   void BeginSample(const step_ptr& step, const rollout::launch& launch);
-  void TakeSample(const step_ptr& step, const rollout::launch& launch,
-                  const generation_result& result);
+  void HandleSampleResult(const step_ptr& step, const rollout::launch& launch,
+                          const generation_result& result);
   void Replicate(const step_ptr& step);
   void ServePulls(const step_ptr& step);
   void Serve(const step_ptr& step, const waiting_pull& pull);
@@ -115,16 +118,16 @@
                    const std::vector<int64_t>& slots);
   void ProposeBatch(const step_ptr& step, const waiting_pull& pull,
                     const std::shared_ptr<const proposed_batch>& batch);
-  void TakeCommitAnswer(const step_ptr& step, const waiting_pull& pull,
-                        const std::shared_ptr<const proposed_batch>& batch,
-                        const control::proposal_answer& answer);
+  void HandleCommitAnswer(const step_ptr& step, const waiting_pull& pull,
+                          const std::shared_ptr<const proposed_batch>& batch,
+                          const control::proposal_answer& answer);
   void AnswerBatch(const step_ptr& step, const waiting_pull& pull,
                    const std::optional<std::string>& body);
   void Acknowledge(const step_ptr& step, uint64_t cursor);
-  // Empty: not all of its bodies are held here.
+  // Empty if this instance does not store all bodies of the batch.
   std::optional<std::string> BatchBody(
       const step_ptr& step, const control::batch_record& batch) const;
-  void NoteDelivery(const step_ptr& step, const control::batch_record& batch);
+  void RecordDelivery(const step_ptr& step, const control::batch_record& batch);
   void AnswerPull(const step_ptr& step, const waiting_pull& pull,
                   const step_reply& reply);
   void Close(const step_ptr& step, int end_status);
@@ -140,7 +143,7 @@
   const bool hedging_enabled_;
   std::map<std::string, step_ptr> steps_;  // by "pool/step"
   std::map<std::string, std::vector<std::pair<pull_request, completion>>>
-      taking_over_;  // pulls that wait for it
+      taking_over_;  // waiting pulls, by "pool/step"
   bool is_released_ = false;
 };
 
--- a/packages/hickoryd/step_takeover.cc
+++ b/packages/hickoryd/step_takeover.cc
@@ -1,5 +1,5 @@
-// Opening steps, finding their coordinator, and taking them over when it is
-// gone.
+// Opens steps, finds their coordinator, and takes them over when the
+// coordinator is unreachable or has terminated.
 
 #include <algorithm>
 #include <utility>
@@ -23,7 +23,8 @@
 constexpr char kPullPath[] = "/peer/v1/pull";
 constexpr milliseconds kReadLimit{3000};
 constexpr milliseconds kRetryPause{50};
-// Forwarded pulls wait in slices, so that a coordinator that froze is noticed.
+// Forwarded pulls wait in short intervals, so that an unresponsive coordinator
+// is detected.
 constexpr int64_t kForwardWaitMs = 500;
 constexpr milliseconds kForwardMargin{700};
 
@@ -46,8 +47,8 @@
 }
 
 step_reply EndReply(uint64_t cursor, int end_status) {
-  if (end_status == kEndMissed) {
-    return FailureReply(kEndMissed, "ran", "the step's deadline passed",
+  if (end_status == kEndDeadlineMissed) {
+    return FailureReply(kEndDeadlineMissed, "ran", "the step's deadline passed",
                         milliseconds(0));
   }
   return {200, EmptyBatch(cursor, true, end_status == kEndPartial),
@@ -59,7 +60,7 @@
   const core::time_point now = context_.clock.Now();
   const auto view = context_.board.Get();
   if (is_released_ || !MayServe(*view, now)) {
-    done(FailureReply(503, "not_run", "this instance does not serve now",
+    done(FailureReply(503, "not_run", "this instance is not serving",
                       milliseconds(1000)));
     return;
   }
@@ -78,7 +79,7 @@
   held_bodies hold;
   hold.step_key = key;
   hold.spec = core::Encode(spec);
-  if (!bodies_.Take(hold)) {
+  if (!bodies_.Apply(hold)) {
     done(FailureReply(503, "not_run", "no room for another step",
                       milliseconds(1000)));
     return;
@@ -90,7 +91,7 @@
   const std::string backup = bodies_.ChooseBackup(key);
   if (backup.empty()) {
     done(FailureReply(503, "not_run",
-                      "no other instance to hold the second copy",
+                      "no other instance can store the second copy",
                       milliseconds(1000)));
     return;
   }
@@ -167,21 +168,22 @@
   }
 }
 
-void step_service::TryLater(const pull_request& request, const completion& done,
-                            core::time_point give_up_at) {
-  if (context_.clock.Now() >= give_up_at || is_released_) {
+void step_service::RetryFindCoordinator(const pull_request& request,
+                                        const completion& done,
+                                        core::time_point retry_until) {
+  if (context_.clock.Now() >= retry_until || is_released_) {
     done(FailureReply(503, "not_run", "the step's coordinator can't be reached",
                       milliseconds(500)));
     return;
   }
-  context_.traffic.After(kRetryPause, [this, request, done, give_up_at] {
-    FindCoordinator(request, done, give_up_at);
+  context_.traffic.After(kRetryPause, [this, request, done, retry_until] {
+    FindCoordinator(request, done, retry_until);
   });
 }
 
 void step_service::FindCoordinator(const pull_request& request,
                                    const completion& done,
-                                   core::time_point give_up_at) {
+                                   core::time_point retry_until) {
   const std::string key = control::StepKey(request.pool, request.step);
   if (steps_.count(key) != 0) {
     Pull(request, done);
@@ -190,8 +192,8 @@
   const bool is_queued = leader_.ReadStep(
       request.pool, request.step, kReadLimit,
       [this, request, done,
-       give_up_at](const std::optional<step_answer>& answer) {
-        context_.traffic.Post([this, request, done, give_up_at, answer] {
+       retry_until](const std::optional<step_answer>& answer) {
+        context_.traffic.Post([this, request, done, retry_until, answer] {
           if (!answer) {
             done(FailureReply(503, "not_run",
                               "the control group can't be reached",
@@ -206,7 +208,7 @@
             done(EndReply(request.cursor, answer->record.end_status));
             return;
           }
-          ForwardOrTakeOver(request, done, answer->record, give_up_at);
+          ForwardOrTakeOver(request, done, answer->record, retry_until);
         });
       });
   if (!is_queued) {
@@ -215,36 +217,36 @@
   }
 }
 
-// The epoch makes a take-over safe even from a coordinator that still lives, so
-// this only decides how soon to try.
+// The epoch makes a take-over safe even if the old coordinator is still alive.
+// This function only decides when to attempt it.
 void step_service::ForwardOrTakeOver(const pull_request& request,
                                      const completion& done,
                                      const control::step_record& record,
-                                     core::time_point give_up_at) {
+                                     core::time_point retry_until) {
   const auto view = context_.board.Get();
   const core::time_point now = context_.clock.Now();
   const auto found = view->instances.find(record.coordinator);
   const bool is_self = record.coordinator == context_.settings.id;
   const bool is_same_process =
       found != view->instances.end() && found->second.info.boot == record.boot;
-  const bool is_there = !is_self && is_same_process &&
-                        IsAlive(found->second, now) &&
-                        !found->second.info.is_draining;
-  if (is_there) {
-    Forward(request, done, record.coordinator, record, give_up_at);
+  const bool is_coordinator_alive = !is_self && is_same_process &&
+                                    IsAlive(found->second, now) &&
+                                    !found->second.info.is_draining;
+  if (is_coordinator_alive) {
+    Forward(request, done, record.coordinator, record, retry_until);
     return;
   }
   if (is_released_) {
-    TryLater(request, done, give_up_at);
+    RetryFindCoordinator(request, done, retry_until);
     return;
   }
-  TakeOver(request, done, record, give_up_at);
+  TakeOver(request, done, record, retry_until);
 }
 
 void step_service::Forward(const pull_request& request, const completion& done,
                            const std::string& coordinator,
                            const control::step_record& record,
-                           core::time_point give_up_at) {
+                           core::time_point retry_until) {
   pull_request forwarded = request;
   forwarded.is_forwarded = true;
   forwarded.wait_ms = std::clamp<int64_t>(request.wait_ms, 0, kForwardWaitMs);
@@ -253,8 +255,8 @@
   context_.links.Call(
       coordinator, kPullPath, core::Encode(forwarded), timeout,
       [this, request, done, record,
-       give_up_at](const transport::http_response& response) {
-        context_.traffic.Post([this, request, done, record, give_up_at,
+       retry_until](const transport::http_response& response) {
+        context_.traffic.Post([this, request, done, record, retry_until,
                                response] {
           const bool is_answer = response.how == transport::delivery::kAnswered;
           if (is_answer && response.status != 404 && response.status != 503) {
@@ -264,40 +266,41 @@
                   response.Header(kOutcomeHeader)});
             return;
           }
-          const bool is_gone = response.how == transport::delivery::kNotSent ||
-                               (is_answer && response.status == 404);
-          if (is_gone && !is_released_) {
-            TakeOver(request, done, record, give_up_at);
+          const bool is_not_coordinating =
+              response.how == transport::delivery::kNotSent ||
+              (is_answer && response.status == 404);
+          if (is_not_coordinating && !is_released_) {
+            TakeOver(request, done, record, retry_until);
             return;
           }
-          TryLater(request, done, give_up_at);
+          RetryFindCoordinator(request, done, retry_until);
         });
       });
 }
 
 void step_service::TakeOver(const pull_request& request, const completion& done,
                             const control::step_record& record,
-                            core::time_point give_up_at) {
+                            core::time_point retry_until) {
   const std::string key = control::StepKey(request.pool, request.step);
   auto& waiting = taking_over_[key];
   waiting.emplace_back(request, done);
-  if (waiting.size() > 1) return;  // under way already
+  if (waiting.size() > 1) return;  // already in progress
   auto work = std::make_shared<take_over>();
   work->key = key;
   work->request = request;
   work->record = record;
-  work->give_up_at = give_up_at;
+  work->retry_until = retry_until;
   work->found = bodies_.Get(key);
-  GatherBodies(work);
+  CollectBodies(work);
 }
 
-void step_service::GatherBodies(const std::shared_ptr<take_over>& work) {
+void step_service::CollectBodies(const std::shared_ptr<take_over>& work) {
   std::vector<std::string> others;
   for (const std::string& holder : work->record.holders) {
     if (holder != context_.settings.id) others.push_back(holder);
   }
-  // The current coordinator may have chosen another second holder since; ask
-  // everybody alive.
+  // The coordinator may have chosen another second holder since the record was
+  // written, so all instances that are alive are asked.
   const auto view = context_.board.Get();
   for (const auto& [id, instance] : view->instances) {
     const bool is_listed =
@@ -312,17 +315,17 @@
     return;
   }
   for (const std::string& other : others) {
-    bodies_.Ask(other, work->key,
-                [this, work](const std::optional<held_bodies>& held) {
-                  if (held && !held->spec.empty()) {
-                    work->found.step_key = work->key;
-                    work->found.spec = held->spec;
-                    for (const held_sample& sample : held->samples) {
-                      work->found.samples.push_back(sample);
+    bodies_.Fetch(other, work->key,
+                  [this, work](const std::optional<held_bodies>& held) {
+                    if (held && !held->spec.empty()) {
+                      work->found.step_key = work->key;
+                      work->found.spec = held->spec;
+                      for (const held_sample& sample : held->samples) {
+                        work->found.samples.push_back(sample);
+                      }
                     }
-                  }
-                  if (--work->answers_missing == 0) ProposeTakeOver(work);
-                });
+                    if (--work->answers_missing == 0) ProposeTakeOver(work);
+                  });
   }
 }
 
@@ -335,13 +338,13 @@
   const std::optional<rollout::step_spec> spec =
       core::Decode<rollout::step_spec>(work->found.spec);
   if (work->found.spec.empty() || !spec) {
-    fail(
-        FailureReply(410, "unknown",
-                     "both copies of the step's prompts are lost; open it anew",
-                     milliseconds(0)));
+    fail(FailureReply(
+        410, "unknown",
+        "both copies of the step's prompts are lost; open the step again",
+        milliseconds(0)));
     return;
   }
-  bodies_.Take(work->found);
+  bodies_.Apply(work->found);
   work->backup = bodies_.ChooseBackup(work->key);
   control::command input;
   input.kind = control::command_kind::kTakeOverStep;
@@ -384,8 +387,9 @@
   });
 }
 
-// Read again: the old coordinator may have committed a batch between our first
-// look and the new epoch. From the new epoch on it can't.
+// The record is read again: the old coordinator may have committed a batch
+// between the first read and the new epoch. It can't commit any more once the
+// new epoch is in force.
 void step_service::ReadAfterTakeOver(const std::shared_ptr<take_over>& work,
                                      uint64_t epoch) {
   const bool is_queued = leader_.ReadStep(
@@ -405,11 +409,12 @@
   }
 }
 
-// Holders may have different bodies for one slot: a coordinator that was
-// deposed without noticing goes on generating for a while. Of the batch that
-// the trainer may ask for again, only the bodies that were committed count.
-void step_service::HoldLastBatch(const take_over& work,
-                                 coordinated_step& step) {
+// Holders may store different bodies for one slot, because a deposed
+// coordinator that has not noticed it continues to generate for a while. Of the
+// batch that the trainer may request again, only the committed bodies are
+// valid.
+void step_service::StoreLastBatch(const take_over& work,
+                                  coordinated_step& step) {
   if (step.batches.empty()) return;
   const control::batch_record& last = step.batches.back();
   held_bodies committed;
@@ -423,7 +428,7 @@
       break;
     }
   }
-  bodies_.Take(committed);
+  bodies_.Apply(committed);
   step.last = std::make_shared<proposed_batch>(proposed_batch{last, committed});
   if (!work.backup.empty()) {
     bodies_.CopyTo(work.backup, committed, [](bool /*is_held*/) {});
@@ -446,19 +451,19 @@
         std::max(step->trainer_version, batch.trainer_version);
     rollout::MarkDelivered(step->run, batch.slots);
   }
-  HoldLastBatch(*work, *step);
+  StoreLastBatch(*work, *step);
   for (const held_sample& held : work->found.samples) {
     const std::optional<rollout::sample> sample =
         core::Decode<rollout::sample>(held.body);
     if (!sample || sample->slot != held.slot) continue;
     rollout::RestoreSample(step->run, *sample);
-    const bool is_waiting_copy =
+    const bool needs_second_copy =
         step->run.slots[static_cast<size_t>(held.slot)].state ==
         rollout::slot_state::kComplete;
-    if (is_waiting_copy && !work->backup.empty()) {
+    if (needs_second_copy && !work->backup.empty()) {
       rollout::NoteReplicated(step->run, held.slot);
     }
-    if (is_waiting_copy && work->backup.empty()) {
+    if (needs_second_copy && work->backup.empty()) {
       step->to_replicate.push_back(held.slot);
     }
   }
