--- a/packages/hickoryd/api_bodies.h
+++ b/packages/hickoryd/api_bodies.h
@@ -1,8 +1,8 @@
 #ifndef HICKORYWOOD_HICKORYD_API_BODIES_H_
 #define HICKORYWOOD_HICKORYD_API_BODIES_H_
 
-// The JSON bodies of the caller API that have no type of their own elsewhere.
-// docs/api.md describes them.
+// The JSON bodies of the caller API that are not defined elsewhere. docs/api.md
+// describes them.
 
 #include <cstdint>
 #include <string>
--- a/packages/hickoryd/api_reply.cc
+++ b/packages/hickoryd/api_reply.cc
@@ -8,7 +8,7 @@
 namespace hickorywood::hickoryd {
 namespace {
 
-// Both are left out where they say nothing: a good answer has no outcome.
+// Omits headers without a value: a successful response has no outcome.
 std::vector<transport::http_header> FailureHeaders(
     const std::string& outcome, core::milliseconds retry_after) {
   std::vector<transport::http_header> headers;
--- a/packages/hickoryd/api_reply.h
+++ b/packages/hickoryd/api_reply.h
@@ -1,7 +1,7 @@
 #ifndef HICKORYWOOD_HICKORYD_API_REPLY_H_
 #define HICKORYWOOD_HICKORYD_API_REPLY_H_
 
-// The form of answers that this instance makes itself.
+// The format of the responses that this instance creates itself.
 
 #include <chrono>
 #include <memory>
@@ -25,26 +25,26 @@
 void ReplyJson(const exchange_ptr& exchange, int status,
                const std::string& body);
 
-// A failure: body {"outcome", "reason", "retry_after_ms"}, headers
-// Hickory-Outcome and, where coming back helps, Retry-After in whole seconds.
+// Sends a failure: body {"outcome", "reason", "retry_after_ms"}, header
+// Hickory-Outcome and, where a retry helps, Retry-After in whole seconds.
 void ReplyFailure(const exchange_ptr& exchange, int status,
                   request_outcome outcome, const std::string& reason,
                   core::milliseconds retry_after);
 
-// An answer about a step, with the same headers as any failure.
+// Sends the response to a step request, with the same headers as any failure.
 void ReplyStep(const exchange_ptr& exchange, const step_reply& reply);
 
-// A refusal of malformed input: status 400, "not_run".
+// Rejects malformed input: status 400, "not_run".
 void ReplyInvalid(const exchange_ptr& exchange, const std::string& reason);
 
 // The value of Retry-After for `time`: whole seconds, rounded up.
 std::string RetryAfterSeconds(core::milliseconds time);
 
-// Runs `work` on `loop`; answers "not run" when its queue is full.
+// Runs `work` on `loop`; responds "not run" when its queue is full.
 void RunOn(core::event_loop& loop, const exchange_ptr& exchange,
            core::event_loop::task work);
 
-// Decodes the body into T, or answers 400.
+// Decodes the body into T, or responds 400.
 template <typename T>
 std::optional<T> DecodeBody(const exchange_ptr& exchange) {
   std::optional<T> value = core::Decode<T>(exchange->Body());
--- a/packages/hickoryd/caller_api.cc
+++ b/packages/hickoryd/caller_api.cc
@@ -30,8 +30,8 @@
   return parts;
 }
 
-// Fills `names` with what the ':' parts of the pattern took. False when the
-// path does not match.
+// Fills `names` with the path parts that match the ':' parts of the pattern.
+// False when the path does not match.
 bool MatchPattern(const std::vector<std::string>& pattern,
                   const std::vector<std::string>& path,
                   std::vector<std::string>& names) {
@@ -50,13 +50,14 @@
 
 std::string RequestId(const exchange_ptr& exchange) {
   const std::string given = exchange->Header("X-Request-Id");
-  constexpr size_t kLongestId = 128;
-  return given.empty() || given.size() > kLongestId ? core::RandomId() : given;
+  constexpr size_t kMaxIdBytes = 128;
+  return given.empty() || given.size() > kMaxIdBytes ? core::RandomId() : given;
 }
 
-// Headers that belong to one connection or that this instance sets itself.
+// Excludes headers that apply to one connection and headers that this instance
+// sets itself.
 bool IsForwarded(const std::string& name) {
-  static const std::vector<std::string> kKept = {
+  static const std::vector<std::string> kForwardedHeaders = {
       "accept",   "accept-language", "content-type",    "user-agent",
       "if-match", "if-none-match",   "idempotency-key", "traceparent"};
   std::string lower = name;
@@ -64,10 +65,11 @@
                  [](unsigned char c) { return std::tolower(c); });
   const bool is_custom = lower.rfind("x-", 0) == 0 && lower != "x-request-id";
   return is_custom ||
-         std::find(kKept.begin(), kKept.end(), lower) != kKept.end();
+         std::find(kForwardedHeaders.begin(), kForwardedHeaders.end(), lower) !=
+             kForwardedHeaders.end();
 }
 
-// One streamed piece of a generation, as a server-sent event.
+// Formats a piece of a generation as a server-sent event.
 std::string StreamEvent(const std::string& id,
                         const rollout::generated_text& so_far,
                         const std::string& piece,
@@ -184,13 +186,14 @@
   LogEvent(event_id::kAccessDenied,
            {{"path", exchange->Path()}, {"from", exchange->RemoteAddress()}});
   const bool is_missing = access == transport::access_result::kMissing;
-  ReplyFailure(exchange, is_missing ? 401 : 403, request_outcome::kNotRun,
-               is_missing ? "a token is needed" : "the token is wrong",
-               milliseconds(0));
+  ReplyFailure(
+      exchange, is_missing ? 401 : 403, request_outcome::kNotRun,
+      is_missing ? "a bearer token is required" : "the bearer token is invalid",
+      milliseconds(0));
   return false;
 }
 
-bool caller_api::RefuseIfDraining(const exchange_ptr& exchange) {
+bool caller_api::RejectIfDraining(const exchange_ptr& exchange) {
   if (!parts_.context.is_draining) return false;
   ReplyFailure(exchange, 503, request_outcome::kNotRun,
                "the instance is stopping", kRetryAfter);
@@ -214,7 +217,7 @@
 
 void caller_api::CallService(const exchange_ptr& exchange,
                              const std::string& service) {
-  if (RefuseIfDraining(exchange)) return;
+  if (RejectIfDraining(exchange)) return;
   service_call call;
   call.id = RequestId(exchange);
   call.service = service;
@@ -259,7 +262,7 @@
 
 void caller_api::Generate(const exchange_ptr& exchange,
                           const std::string& pool) {
-  if (RefuseIfDraining(exchange)) return;
+  if (RejectIfDraining(exchange)) return;
   const auto body = DecodeBody<generate_body>(exchange);
   if (!body) return;
   if (body->max_tokens < 1 || body->max_tokens > rollout::kMostTokens ||
@@ -305,8 +308,8 @@
         "generate",
         result.is_complete ? "complete" : OutcomeName(result.outcome));
     if (is_stream && *has_begun) {
-      // A stream that failed ends with an error event and without the end mark:
-      // the caller can tell.
+      // A failed stream ends with an error event and without the end mark, so
+      // that the caller can detect the failure.
       const nlohmann::json error = {{"error",
                                      {{"outcome", OutcomeName(result.outcome)},
                                       {"reason", result.reason}}}};
@@ -337,7 +340,7 @@
   };
   const uint64_t generation =
       parts_.generations.Begin(std::move(request), std::move(callbacks));
-  // A caller that went away: the engine should not go on for nobody.
+  // When the caller disconnects, the engine stops generating.
   exchange->OnDisconnect([this, generation] {
     parts_.context.traffic.Post(
         [this, generation] { parts_.generations.Cancel(generation); });
@@ -346,7 +349,7 @@
 
 void caller_api::OpenStep(const exchange_ptr& exchange,
                           const std::string& pool) {
-  if (RefuseIfDraining(exchange)) return;
+  if (RejectIfDraining(exchange)) return;
   auto spec = DecodeBody<rollout::step_spec>(exchange);
   if (!spec) return;
   spec->pool = pool;
@@ -361,7 +364,7 @@
 
 void caller_api::Pull(const exchange_ptr& exchange, const std::string& pool,
                       const std::string& step) {
-  if (RefuseIfDraining(exchange)) return;
+  if (RejectIfDraining(exchange)) return;
   auto request = DecodeBody<pull_request>(exchange);
   if (!request) return;
   request->pool = pool;
@@ -381,7 +384,7 @@
   const auto body = DecodeBody<weights_body>(exchange);
   if (!body) return;
   const auto view = parts_.context.board.Get();
-  // Before the first view nobody can tell which pools there are.
+  // The pools are unknown before the first view.
   if (!view->config) {
     ReplyFailure(exchange, 503, request_outcome::kNotRun,
                  "this instance has no configuration yet", kRetryAfter);
--- a/packages/hickoryd/caller_api.h
+++ b/packages/hickoryd/caller_api.h
@@ -1,8 +1,8 @@
 #ifndef HICKORYWOOD_HICKORYD_CALLER_API_H_
 #define HICKORYWOOD_HICKORYD_CALLER_API_H_
 
-// The routes of the caller listener: callers, trainers, endpoints and
-// operators. docs/api.md lists them with their answers.
+// The routes of the caller listener, for callers, trainers, endpoints and
+// operators. docs/api.md lists them with their responses.
 
 #include <functional>
 #include <string>
@@ -25,7 +25,7 @@
   using path_parts = std::vector<std::string>;
   struct route {
     std::string method;  // "*": any
-    path_parts pattern;  // ":name" takes one part, "**" the rest
+    path_parts pattern;  // ":name" matches one part, "**" the rest
     audience who = audience::kAnyone;
     std::function<void(const exchange_ptr&, const path_parts&)> handle;
   };
@@ -37,7 +37,7 @@
   void AddTrafficRoutes();
   void AddOperatorRoutes();
   bool CheckAccess(const exchange_ptr& exchange, audience who);
-  bool RefuseIfDraining(const exchange_ptr& exchange);
+  bool RejectIfDraining(const exchange_ptr& exchange);
 
   void Announce(const exchange_ptr& exchange);
   void CallService(const exchange_ptr& exchange, const std::string& service);
--- a/packages/hickoryd/context.h
+++ b/packages/hickoryd/context.h
@@ -14,13 +14,14 @@
 
 namespace hickorywood::hickoryd {
 
-// What the parts of one process share. Each member outlives all parts.
+// The objects shared by the components of one process. Each member outlives all
+// components.
 struct instance_context {
   const core::runtime_clock& clock;
   const settings::instance_settings& settings;
   const std::string boot;     // random id of this process
   core::event_loop& control;  // owns the control state
-  core::event_loop& traffic;  // owns requests and steps under way
+  core::event_loop& traffic;  // owns active requests and steps
   transport::http_client& client;
   peer_links& links;
   view_board& board;
--- a/packages/hickoryd/event_metrics.cc
+++ b/packages/hickoryd/event_metrics.cc
@@ -12,12 +12,12 @@
 namespace hickorywood::hickoryd {
 namespace {
 
-// Field of an event that holds how long the thing took, in milliseconds.
+// Event field with the duration in milliseconds.
 constexpr std::string_view kDurationField = "ms";
 constexpr double kMillisPerSecond = 1000;
 
-// Seconds: from a plain answer of a few ms to a step of some seconds, each
-// about twice the one before.
+// In seconds: from a simple request of a few ms to a step of several seconds,
+// each about twice the previous one.
 const prometheus::Histogram::BucketBoundaries& DurationBuckets() {
   static const auto* const kBuckets =
       new prometheus::Histogram::BucketBoundaries{
--- a/packages/hickoryd/event_metrics.h
+++ b/packages/hickoryd/event_metrics.h
@@ -1,10 +1,10 @@
 #ifndef HICKORYWOOD_HICKORYD_EVENT_METRICS_H_
 #define HICKORYWOOD_HICKORYD_EVENT_METRICS_H_
 
-// Metrics of a process, taken from its numbered events: a count of each, and
-// the durations of those that carry one. Logs and metrics can't disagree, also
-// when lines are dropped, and the number of series is that of the catalogue.
-// docs/metrics.md lists the families.
+// Metrics of a process, derived from its numbered events: a count of each
+// event, and the durations of the events that have one. Logs and metrics agree
+// even when log lines are dropped, and the number of series is bounded by the
+// event catalogue. docs/metrics.md lists the families.
 
 #include <initializer_list>
 #include <memory>
@@ -31,7 +31,7 @@
   void Note(const core::event_info& info,
             std::initializer_list<core::event_field> fields);
 
-  // In the text format of Prometheus.
+  // The metrics in the Prometheus text format.
   std::string Text() const;
 
  private:
--- a/packages/hickoryd/explain_log.h
+++ b/packages/hickoryd/explain_log.h
@@ -1,8 +1,8 @@
 #ifndef HICKORYWOOD_HICKORYD_EXPLAIN_LOG_H_
 #define HICKORYWOOD_HICKORYD_EXPLAIN_LOG_H_
 
-// A bounded record of recent decisions, by request id: where each request was
-// sent and why, why it was refused. For `hickoryctl explain`. Safe from any
+// A bounded log of recent decisions by request id: where each request was sent
+// and why, and why it was rejected. Used by `hickoryctl explain`. Safe from any
 // thread.
 
 #include <cstdint>
--- a/packages/hickoryd/instance.cc
+++ b/packages/hickoryd/instance.cc
@@ -136,9 +136,9 @@
   bool has_failed = false;       // guarded by mutex
 };
 
-// The control state comes up before anything that needs it; the callers'
-// listener last, so that nobody is served by half an instance. Stopping goes
-// the other way round.
+// Starts the control state before the components that need it, and the caller
+// listener last, so that no request is served by an instance that is only
+// partly started. Components stop in reverse order.
 void instance::impl::BuildTree() {
   const auto control_tree = std::make_shared<supervisor>("control", clock);
   control_tree->Add({"client",
@@ -190,7 +190,8 @@
   return true;
 }
 
-// Written under another name first, so that a reader never sees half of it.
+// Written to a temporary file and renamed, so that a reader never sees a
+// partial file.
 void instance::impl::WritePorts() const {
   if (settings.ports_file.empty()) return;
   const std::string temporary = settings.ports_file + ".tmp";
@@ -222,11 +223,11 @@
   return active + callers.InFlight();
 }
 
-// A planned stop cuts nothing off. First the balancer sees "not ready" and
-// stops sending, while requests that still come are served. Then new work is
-// refused, and what is in flight finishes. Leadership and steps go to others,
-// and the configuration lease is given back, so that nobody has to wait for a
-// time-out.
+// A planned stop interrupts no request. First the load balancer sees "not
+// ready" and stops sending, while arriving requests are still served. Then new
+// work is rejected, and requests in flight finish. Leadership and steps are
+// transferred to other instances, and the configuration lease is released, so
+// that no instance has to wait for a timeout.
 void instance::impl::Drain() {
   LogEvent(event_id::kProcessStopping, {{"instance", settings.id}});
   std::unique_lock<std::mutex> lock(mutex);
--- a/packages/hickoryd/instance.h
+++ b/packages/hickoryd/instance.h
@@ -1,8 +1,8 @@
 #ifndef HICKORYWOOD_HICKORYD_INSTANCE_H_
 #define HICKORYWOOD_HICKORYD_INSTANCE_H_
 
-// One hickoryd process: all its parts under a supervisor tree, and the planned
-// stop.
+// One hickoryd process: all its components under a supervisor tree, and the
+// planned stop.
 
 #include <atomic>
 #include <memory>
@@ -14,8 +14,8 @@
 
 namespace hickorywood::hickoryd {
 
-// Baselines that measurements switch on; the defaults are what the product
-// does.
+// Alternatives for baseline measurements; the defaults are the product
+// behavior.
 struct instance_options {
   generation_policy generation;
   bool hedging_enabled = true;
@@ -27,15 +27,15 @@
   instance(const instance&) = delete;
   instance& operator=(const instance&) = delete;
 
-  // Starts everything. False with the reason.
+  // Starts all components. False with the reason.
   bool Start();
 
-  // Begins the planned stop: not ready first, then drain, hand over, stop.
-  // Returns at once.
+  // Begins the planned stop: reports not ready, drains, transfers leadership,
+  // stops. Returns immediately.
   void BeginDrain();
 
-  // Runs until a planned stop is complete or a part failed for good. Returns
-  // the exit code: 0 after a planned stop, 1 otherwise.
+  // Blocks until a planned stop is complete or a component failed permanently.
+  // Returns the exit code: 0 after a planned stop, 1 otherwise.
   int Wait();
 
   uint16_t CallersPort() const;
@@ -49,7 +49,7 @@
   std::unique_ptr<impl> impl_;
 };
 
-// Builds an instance from checked settings.
+// Builds an instance from validated settings.
 class instance_builder {
  public:
   explicit instance_builder(const core::runtime_clock& clock) : clock_(clock) {}
--- a/packages/hickoryd/leader_client.cc
+++ b/packages/hickoryd/leader_client.cc
@@ -11,11 +11,12 @@
 using control::proposal_status;
 
 constexpr core::milliseconds kRetryPause{30};
-// One try of a proposal; a dead leader must not eat the whole limit.
-constexpr core::milliseconds kTryTimeout{1000};
-// A submission is answered only once it is in force everywhere, after up to a
-// lease time.
-constexpr core::milliseconds kSubmitTryTimeout{8000};
+// Timeout of one attempt of a proposal, so that an unreachable leader does not
+// use up the whole time limit.
+constexpr core::milliseconds kProposalAttemptTimeout{1000};
+// A submission is answered only once it is in force on all instances, which
+// takes up to a lease time.
+constexpr core::milliseconds kSubmitAttemptTimeout{8000};
 
 }  // namespace
 
@@ -23,9 +24,9 @@
   std::string path;
   std::string body;
   control::command input;
-  step_question question;
+  step_request step_to_read;
   core::time_point retry_until{};
-  core::milliseconds try_timeout{kTryTimeout};
+  core::milliseconds attempt_timeout{kProposalAttemptTimeout};
   std::function<void(proposal_answer)> on_proposal;
   std::function<void(std::optional<step_answer>)> on_step;
   std::string target;
@@ -56,7 +57,7 @@
   call->body = core::Encode(input);
   call->input = std::move(input);
   call->retry_until = context_.clock.Now() + limit;
-  call->try_timeout = kSubmitTryTimeout;
+  call->attempt_timeout = kSubmitAttemptTimeout;
   call->on_proposal = std::move(done);
   return Begin(call);
 }
@@ -66,8 +67,8 @@
     std::function<void(std::optional<step_answer>)> done) {
   auto call = std::make_shared<pending_call>();
   call->path = kStepPath;
-  call->question = {pool, step};
-  call->body = core::Encode(call->question);
+  call->step_to_read = {pool, step};
+  call->body = core::Encode(call->step_to_read);
   call->retry_until = context_.clock.Now() + limit;
   call->on_step = std::move(done);
   return Begin(call);
@@ -83,30 +84,30 @@
   return all[next_target_++ % all.size()];
 }
 
-void leader_client::NoteLeader(const std::string& target,
-                               const std::string& hint) {
+void leader_client::UpdateLeader(const std::string& target,
+                                 const std::string& hint) {
   if (leader_ == target) leader_.clear();
   if (!hint.empty()) leader_ = hint;
 }
 
 void leader_client::Attempt(const std::shared_ptr<pending_call>& call) {
   call->target = NextTarget();
-  // The replica in this process is asked directly.
+  // The replica in this process is called directly.
   if (host_ != nullptr && call->target == context_.settings.id) {
     control::replica& replica = host_->Replica();
     if (call->on_step) {
       step_answer answer;
       const std::optional<control::step_record> record =
-          replica.ReadStep(call->question.pool, call->question.step);
+          replica.ReadStep(call->step_to_read.pool, call->step_to_read.step);
       answer.is_leader = replica.IsServing();
       answer.leader = replica.LeaderNode();
       answer.is_found = record.has_value();
       if (record) answer.record = *record;
-      TakeStepAnswer(call, answer);
+      HandleStepAnswer(call, answer);
       return;
     }
     const auto done = [this, call](const proposal_answer& answer) {
-      TakeProposalAnswer(call, answer);
+      HandleProposalAnswer(call, answer);
     };
     if (call->path == kSubmitPath) {
       replica.Submit(call->input, done);
@@ -118,7 +119,7 @@
   const auto left = std::chrono::duration_cast<core::milliseconds>(
       call->retry_until - context_.clock.Now());
   const core::milliseconds timeout =
-      std::clamp(left, core::milliseconds(1), call->try_timeout);
+      std::clamp(left, core::milliseconds(1), call->attempt_timeout);
   context_.links.Call(
       call->target, call->path, call->body, timeout,
       [this, call](const transport::http_response& response) {
@@ -127,15 +128,15 @@
               response.how == transport::delivery::kAnswered &&
               response.status == 200;
           if (call->on_step) {
-            TakeStepAnswer(call, is_answer
-                                     ? core::Decode<step_answer>(response.body)
-                                           .value_or(step_answer{})
-                                     : step_answer{});
+            HandleStepAnswer(
+                call, is_answer ? core::Decode<step_answer>(response.body)
+                                      .value_or(step_answer{})
+                                : step_answer{});
             return;
           }
           proposal_answer lost;
           lost.status = proposal_status::kLost;
-          TakeProposalAnswer(
+          HandleProposalAnswer(
               call,
               is_answer
                   ? core::Decode<proposal_answer>(response.body).value_or(lost)
@@ -144,7 +145,7 @@
       });
 }
 
-void leader_client::TakeProposalAnswer(
+void leader_client::HandleProposalAnswer(
     const std::shared_ptr<pending_call>& call, const proposal_answer& answer) {
   const bool is_final = answer.status != proposal_status::kNotLeader &&
                         answer.status != proposal_status::kLost;
@@ -153,30 +154,30 @@
     call->on_proposal(answer);
     return;
   }
-  NoteLeader(call->target, answer.leader);
+  UpdateLeader(call->target, answer.leader);
   if (context_.clock.Now() >= call->retry_until) {
     call->on_proposal(answer);
     return;
   }
-  TryAgain(call);
+  ScheduleRetry(call);
 }
 
-void leader_client::TakeStepAnswer(const std::shared_ptr<pending_call>& call,
-                                   const step_answer& answer) {
+void leader_client::HandleStepAnswer(const std::shared_ptr<pending_call>& call,
+                                     const step_answer& answer) {
   if (answer.is_leader) {
     leader_ = call->target;
     call->on_step(answer);
     return;
   }
-  NoteLeader(call->target, answer.leader);
+  UpdateLeader(call->target, answer.leader);
   if (context_.clock.Now() >= call->retry_until) {
     call->on_step(std::nullopt);
     return;
   }
-  TryAgain(call);
+  ScheduleRetry(call);
 }
 
-void leader_client::TryAgain(const std::shared_ptr<pending_call>& call) {
+void leader_client::ScheduleRetry(const std::shared_ptr<pending_call>& call) {
   context_.control.After(kRetryPause, [this, call] { Attempt(call); });
 }
 
@@ -189,7 +190,7 @@
     if (reply && reply->is_granted) {
       leader_ = target;
     } else {
-      NoteLeader(target, reply ? reply->leader : "");
+      UpdateLeader(target, reply ? reply->leader : "");
     }
     done(reply);
   };
--- a/packages/hickoryd/leader_client.h
+++ b/packages/hickoryd/leader_client.h
@@ -1,9 +1,9 @@
 #ifndef HICKORYWOOD_HICKORYD_LEADER_CLIENT_H_
 #define HICKORYWOOD_HICKORYD_LEADER_CLIENT_H_
 
-// Finds the leader of the control group and brings it commands and questions,
-// trying again until a limit: all commands are idempotent. On the control
-// thread, unless said otherwise.
+// Finds the leader of the control group and sends it commands and requests.
+// Retries until a time limit, because all commands are idempotent. Runs on the
+// control thread unless stated otherwise.
 
 #include <functional>
 #include <optional>
@@ -15,11 +15,11 @@
 
 namespace hickorywood::hickoryd {
 
-struct step_question {
+struct step_request {
   std::string pool;
   std::string step;
 };
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(step_question, pool, step)
+NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(step_request, pool, step)
 
 struct step_answer {
   bool is_leader = false;
@@ -35,25 +35,26 @@
   // `host` is null on instances without the control role.
   leader_client(instance_context& context, replica_host* host);
 
-  // Commits `input`. The answer is kNotLeader or kLost when `limit` passed
-  // without one: then it is not known whether the command was committed.
-  // Callable from any thread; `done` runs on the control thread. False, and no
-  // call of `done`, when the control queue is full.
+  // Commits `input`. The answer is kNotLeader or kLost if `limit` passed
+  // without a result; then it is unknown whether the command was committed.
+  // Callable from any thread; `done` runs on the control thread. Returns false
+  // without calling `done` when the control queue is full.
   bool Propose(control::command input, core::milliseconds limit,
                std::function<void(control::proposal_answer)> done);
   bool Submit(control::command input, core::milliseconds limit,
               std::function<void(control::proposal_answer)> done);
 
-  // Asks the leader for a step. Empty when no leader answered in time.
+  // Requests a step record from the leader. Empty when no leader answered in
+  // time.
   bool ReadStep(const std::string& pool, const std::string& step,
                 core::milliseconds limit,
                 std::function<void(std::optional<step_answer>)> done);
 
-  // Renews the configuration lease; one try.
+  // Renews the configuration lease with a single attempt.
   void RenewView(const control::view_request& request,
                  std::function<void(std::optional<control::view_reply>)> done);
 
-  // The instance that is thought to lead; empty: not known.
+  // The instance assumed to be the leader; empty if unknown.
   const std::string& Leader() const { return leader_; }
 
   static constexpr char kProposePath[] = "/peer/v1/propose";
@@ -64,14 +65,14 @@
  private:
   struct pending_call;
   void Attempt(const std::shared_ptr<pending_call>& call);
-  void TakeProposalAnswer(const std::shared_ptr<pending_call>& call,
-                          const control::proposal_answer& answer);
-  void TakeStepAnswer(const std::shared_ptr<pending_call>& call,
-                      const step_answer& answer);
-  void TryAgain(const std::shared_ptr<pending_call>& call);
+  void HandleProposalAnswer(const std::shared_ptr<pending_call>& call,
+                            const control::proposal_answer& answer);
+  void HandleStepAnswer(const std::shared_ptr<pending_call>& call,
+                        const step_answer& answer);
+  void ScheduleRetry(const std::shared_ptr<pending_call>& call);
   bool Begin(const std::shared_ptr<pending_call>& call);
   std::string NextTarget();
-  void NoteLeader(const std::string& target, const std::string& hint);
+  void UpdateLeader(const std::string& target, const std::string& hint);
 
   instance_context& context_;
   replica_host* host_;
--- a/packages/hickoryd/main.cc
+++ b/packages/hickoryd/main.cc
@@ -39,7 +39,8 @@
 namespace settings = hickorywood::settings;
 namespace routing = hickorywood::routing;
 
-// Empty: this process is an instance with a list of its peers.
+// The settings file of a node; empty if this process is an instance with a
+// fixed list of peers.
 std::string NodeSettingsFile() {
   std::string file = absl::GetFlag(FLAGS_node_settings);
   if (!file.empty() || !absl::GetFlag(FLAGS_settings).empty()) return file;
@@ -92,7 +93,7 @@
   }
   if (absl::GetFlag(FLAGS_check)) return 0;
 
-  // Signals are taken by one thread; all others, started after this, block
+  // One thread handles the signals. All threads started after this call block
   // them.
   sigset_t stop_signals;
   sigemptyset(&stop_signals);
@@ -116,8 +117,8 @@
     running->BeginDrain();
   }).detach();
   const int code = running->Wait();
-  // Threads of the libraries may still hold on to what static destructors would
-  // take away.
+  // Exits without static destructors, because library threads may still use the
+  // objects that those would destroy.
   google::FlushLogFiles(google::INFO);
   std::_Exit(code);
 }
--- a/packages/hickoryd/membership_service.cc
+++ b/packages/hickoryd/membership_service.cc
@@ -13,8 +13,8 @@
 
 constexpr core::milliseconds kRoundPeriod{500};
 constexpr core::milliseconds kPublishPeriod{50};
-// Gathers the changes of one burst.
-constexpr core::milliseconds kSpreadPause{20};
+// Delay that collects the changes of one burst.
+constexpr core::milliseconds kBurstDelay{20};
 constexpr core::milliseconds kExchangeTimeout{1000};
 constexpr core::milliseconds kRenewRetry{50};
 constexpr char kExchangeMethod[] = "membership.exchange";
@@ -58,7 +58,7 @@
   }
   needs_publish_ = true;
   if (result == membership::merge_result::kChanged) {
-    NoteChanges({checked->id});
+    HandleTableChanges({checked->id});
   }
   return true;
 }
@@ -69,11 +69,12 @@
   membership::exchange_message reply = membership::AnswerRequest(
       exchange_, SelfInfo(), request, context_.clock.Now(), changed);
   needs_publish_ = true;
-  NoteChanges(changed);
+  HandleTableChanges(changed);
   return reply;
 }
 
-void membership_service::NoteChanges(const std::vector<std::string>& changed) {
+void membership_service::HandleTableChanges(
+    const std::vector<std::string>& changed) {
   for (const std::string& id : changed) {
     const auto found = exchange_.table.records.find(id);
     if (found == exchange_.table.records.end()) continue;
@@ -85,11 +86,11 @@
          {"address", latest.address},
          {"version", std::to_string(latest.version)}});
   }
-  // Joins, leaves and new versions go on at once instead of with the next
-  // round.
+  // Joins, departures and new versions are sent immediately instead of with the
+  // next round.
   if (!changed.empty() && !is_round_due_) {
     is_round_due_ = true;
-    context_.control.After(kSpreadPause, [this] {
+    context_.control.After(kBurstDelay, [this] {
       is_round_due_ = false;
       RunRound();
     });
@@ -118,7 +119,7 @@
           membership::TakeReply(exchange_, *reply, up_to, context_.clock.Now(),
                                 changed);
           needs_publish_ = true;
-          NoteChanges(changed);
+          HandleTableChanges(changed);
         });
       });
 }
@@ -146,18 +147,18 @@
       request,
       [this, sent_at](const std::optional<control::view_reply>& reply) {
         is_renewing_ = false;
-        TakeView(sent_at, reply);
+        ApplyView(sent_at, reply);
         const bool is_granted = reply && reply->is_granted;
         context_.control.After(is_granted ? core::milliseconds(0) : kRenewRetry,
                                [this] { RenewLease(); });
       });
 }
 
-void membership_service::TakeView(
+void membership_service::ApplyView(
     core::time_point sent_at, const std::optional<control::view_reply>& reply) {
   if (!reply || !reply->is_granted || is_released_) return;
-  // A reply that was overtaken by a newer one must not bring the old
-  // configuration back.
+  // A reply that arrives after a newer one must not restore the old
+  // configuration.
   if (reply->is_changed && reply->view.version < view_.version) return;
   if (reply->is_changed) {
     const uint64_t earlier = view_.revision;
@@ -174,7 +175,7 @@
                {{"revision", std::to_string(view_.revision)}});
     }
   }
-  // The lease runs from when it was asked for: the leader's own count starts
+  // The lease starts when the request was sent; the leader starts its own count
   // later.
   lease_until_ = sent_at + core::milliseconds(reply->lease_ms);
   was_lease_live_ = true;
@@ -195,12 +196,11 @@
                     [](const std::optional<control::view_reply>& /*reply*/) {});
 }
 
-// One instance without a lease is cut off and must not serve: the others may
-// have a newer revision. When a majority of the site is heard to be without a
-// lease, the site is cut off as a whole. The leader accepts changes only while
-// a majority of each site holds leases, so the last revision is still the one
-// in force.
-bool membership_service::IsSiteDark(core::time_point now) const {
+// A single instance without a lease is isolated and must not serve, because the
+// other instances may have a newer revision. When a majority of the site has no
+// lease, the whole site is isolated. The leader accepts changes only while a
+// majority of each site holds leases, so the last revision is still in force.
+bool membership_service::IsSiteIsolated(core::time_point now) const {
   size_t instances = 1;
   size_t without_lease = 1;
   for (const settings::peer_settings& peer : context_.settings.peers) {
@@ -232,7 +232,7 @@
   view->revision = view_.revision;
   view->config = config_;
   view->lease_until = lease_until_;
-  view->is_site_dark = !has_lease && !is_released_ && IsSiteDark(now);
+  view->is_site_dark = !has_lease && !is_released_ && IsSiteIsolated(now);
   view->weights = view_.weights;
   for (const auto& [id, record] : exchange_.table.records) {
     if (!membership::IsServing(record, now)) continue;
--- a/packages/hickoryd/membership_service.h
+++ b/packages/hickoryd/membership_service.h
@@ -1,8 +1,9 @@
 #ifndef HICKORYWOOD_HICKORYD_MEMBERSHIP_SERVICE_H_
 #define HICKORYWOOD_HICKORYD_MEMBERSHIP_SERVICE_H_
 
-// Keeps the endpoint table, spreads it, holds the configuration lease, and
-// publishes the routing view. All on the control thread.
+// Maintains the endpoint table, exchanges it with other instances, renews the
+// configuration lease, and publishes the routing view. Runs on the control
+// thread.
 
 #include <memory>
 #include <optional>
@@ -20,12 +21,12 @@
  public:
   membership_service(instance_context& context, leader_client& leader);
 
-  // Schedules the rounds and the lease renewal. Call before the control loop
-  // starts.
+  // Schedules the exchange rounds and the lease renewal. Call before the
+  // control loop starts.
   void Start();
 
-  // Takes an announcement from an endpoint. False with the reason when it is
-  // refused.
+  // Applies an announcement from an endpoint. False with the reason when it is
+  // rejected.
   bool Announce(const membership::announcement& input);
 
   membership::exchange_message AnswerExchange(
@@ -34,19 +35,19 @@
   const membership::endpoint_table& Table() const { return exchange_.table; }
   const control::serving_view& View() const { return view_; }
 
-  // Gives the lease back before a planned stop; nothing is admitted afterwards.
+  // Releases the lease before a planned stop; no work is admitted afterwards.
   void ReleaseLease();
 
  private:
   membership::instance_info SelfInfo() const;
   void RunRound();
   void ExchangeWith(const std::string& peer);
-  void NoteChanges(const std::vector<std::string>& changed);
+  void HandleTableChanges(const std::vector<std::string>& changed);
   void ExpireEndpoints();
   void RenewLease();
-  void TakeView(core::time_point sent_at,
-                const std::optional<control::view_reply>& reply);
-  bool IsSiteDark(core::time_point now) const;
+  void ApplyView(core::time_point sent_at,
+                 const std::optional<control::view_reply>& reply);
+  bool IsSiteIsolated(core::time_point now) const;
   void Publish();
 
   instance_context& context_;
--- a/packages/hickoryd/metrics.h
+++ b/packages/hickoryd/metrics.h
@@ -10,7 +10,7 @@
 
 namespace hickorywood::hickoryd {
 
-// The counters and gauges of one process, for GET /metrics. Safe from any
+// The counters and gauges of one process, served at GET /metrics. Safe from any
 // thread.
 class metrics {
  public:
@@ -19,14 +19,14 @@
   metrics(const metrics&) = delete;
   metrics& operator=(const metrics&) = delete;
 
-  // Answered calls, by kind of work ("generate", "service", "pull", ...) and
-  // outcome.
+  // Counts answered calls by kind of work ("generate", "service", "pull", ...)
+  // and outcome.
   void CountRequest(const std::string& kind, const std::string& outcome);
   void CountRetry(const std::string& subject);
   void CountTokens(const std::string& pool, double tokens);
   void SetGauge(const std::string& name, double value);
 
-  // All of them in Prometheus' text format.
+  // All metrics in the Prometheus text format.
   std::string Text() const;
 
  private:
--- a/packages/hickoryd/node_main.cc
+++ b/packages/hickoryd/node_main.cc
@@ -41,12 +41,13 @@
 constexpr int kExitFailed = 1;
 constexpr int kExitBadSettings = 2;
 constexpr char kMetricsPath[] = "/metrics";
-// Collectors that ask at once; each is one connection.
+// Limit of concurrent connections from metrics collectors.
 constexpr size_t kMetricsConnections = 8;
-// Log lines are written together, so that a busy process makes few writes.
+// Log lines are buffered for this time, so that a busy process makes fewer
+// writes.
 constexpr milliseconds kLogDelay{50};
-// How often the settings file is looked at: its writer need not send a signal,
-// and new seeds are wanted only when all known instances are gone.
+// Interval for checking the settings file: its writer need not send a signal,
+// and new seeds are needed only when no known instance is reachable.
 constexpr std::chrono::seconds kSettingsPeriod{2};
 
 std::optional<settings::node_settings> Load(const std::string& file) {
@@ -60,7 +61,7 @@
   return loaded;
 }
 
-// Blocks or unblocks the signals that a node takes.
+// Blocks or unblocks the signals that a node handles.
 void ChangeSignalMask(int how) {
   sigset_t signals;
   sigemptyset(&signals);
@@ -70,7 +71,7 @@
   pthread_sigmask(how, &signals, nullptr);
 }
 
-// When the file was last written, in nanoseconds; 0 where that is not known.
+// The modification time of the file in nanoseconds; 0 if it is unavailable.
 int64_t ChangedAt(const std::string& file) {
   struct stat info {};
   if (stat(file.c_str(), &info) != 0) return 0;
@@ -91,10 +92,10 @@
   bool StartRole();
   void StartMetrics();
   awaitable<void> ServeMetrics(net::exchange& call) const;
-  awaitable<void> KeepTakingSignals();
-  awaitable<void> KeepWatchingSettings();
+  awaitable<void> HandleSignalsLoop();
+  awaitable<void> WatchSettingsLoop();
   void Reload(const char* cause);
-  void WriteLogSoon();
+  void ScheduleLogFlush();
 
   const std::string file_;
   const settings::node_settings settings_;
@@ -126,7 +127,7 @@
   return controller_->Start();
 }
 
-// An instance whose metrics can't be served does its work all the same.
+// A failure to serve metrics does not stop the instance.
 void node::StartMetrics() {
   if (settings_.metrics_address.empty()) return;
   core::SetEventObserver(
@@ -158,7 +159,7 @@
 }
 
 int node::Run() {
-  core::log_sink::Standard().OnFirstLine([this] { WriteLogSoon(); });
+  core::log_sink::Standard().OnFirstLine([this] { ScheduleLogFlush(); });
   StartMetrics();
   if (!StartRole()) {
     LogEvent(event_id::kChildGaveUp, {{"reason", core::LastReason().text}});
@@ -174,8 +175,8 @@
             {"peers", settings_.peers_address},
             {"first_start", settings_.is_first_start ? "true" : "false"},
             {"seeds", std::to_string(settings_.seeds.size())}});
-  asio::co_spawn(loop_, KeepTakingSignals(), asio::detached);
-  asio::co_spawn(loop_, KeepWatchingSettings(), asio::detached);
+  asio::co_spawn(loop_, HandleSignalsLoop(), asio::detached);
+  asio::co_spawn(loop_, WatchSettingsLoop(), asio::detached);
   loop_.run();
   core::log_sink::Standard().Flush();
   const bool has_failed = (controller_ && controller_->HasFailed()) ||
@@ -183,8 +184,9 @@
   return has_failed ? kExitFailed : 0;
 }
 
-// Lines come from the loop's own thread only, so the timer needs no lock.
-void node::WriteLogSoon() {
+// Log lines are written only on the thread of the loop, so the timer needs no
+// lock.
+void node::ScheduleLogFlush() {
   asio::co_spawn(
       loop_,
       []() -> awaitable<void> {
@@ -200,7 +202,7 @@
       asio::detached);
 }
 
-awaitable<void> node::KeepTakingSignals() {
+awaitable<void> node::HandleSignalsLoop() {
   asio::signal_set signals(loop_, SIGTERM, SIGINT, SIGHUP);
   ChangeSignalMask(SIG_UNBLOCK);
   for (;;) {
@@ -218,7 +220,7 @@
   }
 }
 
-awaitable<void> node::KeepWatchingSettings() {
+awaitable<void> node::WatchSettingsLoop() {
   for (;;) {
     co_await net::Sleep(kSettingsPeriod);
     const int64_t now = ChangedAt(file_);
@@ -226,7 +228,7 @@
   }
 }
 
-// Settings that can't be read leave the running ones in force.
+// If the file can't be read, the current settings stay in force.
 void node::Reload(const char* cause) {
   changed_at_ = ChangedAt(file_);
   const auto fresh = Load(file_);
@@ -241,8 +243,9 @@
 }  // namespace
 
 int RunNode(const std::string& settings_file, bool only_check) {
-  // They wait until the loop takes them. Until then they would end the process,
-  // SIGHUP too, and a store that reads its log takes seconds to get there.
+  // Blocks the signals until the loop handles them. Until then they, including
+  // SIGHUP, would terminate the process, and a store that reads its log takes
+  // seconds to start its loop.
   ChangeSignalMask(SIG_BLOCK);
   core::SetLogFormat(core::log_format::kJson);
   signal(SIGPIPE, SIG_IGN);
--- a/packages/hickoryd/operator_api.cc
+++ b/packages/hickoryd/operator_api.cc
@@ -1,4 +1,4 @@
-// The operators' routes of the caller listener.
+// The operator routes of the caller listener.
 
 #include <optional>
 #include <string>
@@ -151,35 +151,35 @@
   }
 }
 
-// Refused while any control instance that answers is in a group already: an
-// operator who mistakes a replaced instance for a first start would otherwise
-// found a second group beside the first.
+// Rejected if any control instance that responds is already in a group.
+// Otherwise an operator who mistakes a replaced instance for a first start
+// would bootstrap a second group next to the existing one.
 void caller_api::Bootstrap(const exchange_ptr& exchange) {
   if (parts_.host == nullptr) {
     ReplyInvalid(exchange, "this instance has no control role");
     return;
   }
-  AskAllPeers(parts_.context, "/peer/v1/status", "{}", milliseconds(1000),
-              [this, exchange](const peer_answers& answers) {
-                for (const auto& [peer, answer] : answers) {
-                  const auto status =
-                      answer ? core::Decode<instance_status>(*answer)
-                             : std::optional<instance_status>();
-                  if (!status || status->replica.group.empty()) continue;
-                  ReplyFailure(exchange, 409, request_outcome::kNotRun,
-                               peer + " is in group " + status->replica.group,
-                               milliseconds(0));
-                  return;
-                }
-                RunOn(parts_.context.control, exchange, [this, exchange] {
-                  if (parts_.host->Replica().Bootstrap(core::RandomId())) {
-                    ReplyJson(exchange, 200, R"({"status":"accepted"})");
-                    return;
-                  }
-                  ReplyFailure(exchange, 409, request_outcome::kNotRun,
-                               core::LastReason().text, milliseconds(0));
-                });
-              });
+  CallAllPeers(parts_.context, "/peer/v1/status", "{}", milliseconds(1000),
+               [this, exchange](const peer_answers& answers) {
+                 for (const auto& [peer, answer] : answers) {
+                   const auto status =
+                       answer ? core::Decode<instance_status>(*answer)
+                              : std::optional<instance_status>();
+                   if (!status || status->replica.group.empty()) continue;
+                   ReplyFailure(exchange, 409, request_outcome::kNotRun,
+                                peer + " is in group " + status->replica.group,
+                                milliseconds(0));
+                   return;
+                 }
+                 RunOn(parts_.context.control, exchange, [this, exchange] {
+                   if (parts_.host->Replica().Bootstrap(core::RandomId())) {
+                     ReplyJson(exchange, 200, R"({"status":"accepted"})");
+                     return;
+                   }
+                   ReplyFailure(exchange, 409, request_outcome::kNotRun,
+                                core::LastReason().text, milliseconds(0));
+                 });
+               });
 }
 
 void caller_api::ShowStatus(const exchange_ptr& exchange) {
@@ -187,18 +187,18 @@
     instance_status own = StatusFromView(parts_.context);
     own.has_replica = parts_.host != nullptr;
     if (parts_.host != nullptr) own.replica = parts_.host->Replica().Status();
-    AskAllPeers(
+    CallAllPeers(
         parts_.context, "/peer/v1/status", "{}", milliseconds(1000),
         [exchange, own](const peer_answers& answers) {
           nlohmann::json instances = nlohmann::json::array({own});
-          nlohmann::json silent = nlohmann::json::array();
+          nlohmann::json unreachable = nlohmann::json::array();
           for (const auto& [peer, answer] : answers) {
             const auto status = answer ? core::Decode<instance_status>(*answer)
                                        : std::optional<instance_status>();
-            status ? instances.push_back(*status) : silent.push_back(peer);
+            status ? instances.push_back(*status) : unreachable.push_back(peer);
           }
           const nlohmann::json tree = {{"instances", instances},
-                                       {"silent", silent}};
+                                       {"silent", unreachable}};
           ReplyJson(exchange, 200, tree.dump());
         });
   });
@@ -207,42 +207,42 @@
 void caller_api::ShowBurn(const exchange_ptr& exchange) {
   RunOn(parts_.context.traffic, exchange, [this, exchange] {
     const instance_burn own = MakeBurn(parts_.context, parts_.burn);
-    AskAllPeers(parts_.context, "/peer/v1/burn", "{}", milliseconds(1000),
-                [exchange, own](const peer_answers& answers) {
-                  nlohmann::json instances = nlohmann::json::array({own});
-                  nlohmann::json silent = nlohmann::json::array();
-                  for (const auto& [peer, answer] : answers) {
-                    const auto burn = answer
-                                          ? core::Decode<instance_burn>(*answer)
-                                          : std::optional<instance_burn>();
-                    burn ? instances.push_back(*burn) : silent.push_back(peer);
-                  }
-                  const nlohmann::json tree = {{"instances", instances},
-                                               {"silent", silent}};
-                  ReplyJson(exchange, 200, tree.dump());
-                });
+    CallAllPeers(
+        parts_.context, "/peer/v1/burn", "{}", milliseconds(1000),
+        [exchange, own](const peer_answers& answers) {
+          nlohmann::json instances = nlohmann::json::array({own});
+          nlohmann::json unreachable = nlohmann::json::array();
+          for (const auto& [peer, answer] : answers) {
+            const auto burn = answer ? core::Decode<instance_burn>(*answer)
+                                     : std::optional<instance_burn>();
+            burn ? instances.push_back(*burn) : unreachable.push_back(peer);
+          }
+          const nlohmann::json tree = {{"instances", instances},
+                                       {"silent", unreachable}};
+          ReplyJson(exchange, 200, tree.dump());
+        });
   });
 }
 
 void caller_api::Explain(const exchange_ptr& exchange,
                          const std::string& request_id) {
   const std::vector<explain_line> own = parts_.explain.Find(request_id);
-  AskAllPeers(
+  CallAllPeers(
       parts_.context, "/peer/v1/explain", request_id, milliseconds(1000),
       [exchange, own](const peer_answers& answers) {
         nlohmann::json lines = own;
-        nlohmann::json silent = nlohmann::json::array();
+        nlohmann::json unreachable = nlohmann::json::array();
         for (const auto& [peer, answer] : answers) {
           const nlohmann::json found =
               answer ? nlohmann::json::parse(*answer, nullptr, false)
                      : nlohmann::json();
           if (!found.is_array()) {
-            silent.push_back(peer);
+            unreachable.push_back(peer);
             continue;
           }
           lines.insert(lines.end(), found.begin(), found.end());
         }
-        const nlohmann::json tree = {{"lines", lines}, {"silent", silent}};
+        const nlohmann::json tree = {{"lines", lines}, {"silent", unreachable}};
         ReplyJson(exchange, lines.empty() ? 404 : 200, tree.dump());
       });
 }
--- a/packages/hickoryd/order_service.cc
+++ b/packages/hickoryd/order_service.cc
@@ -31,9 +31,9 @@
   control::replica& replica = host_.Replica();
   const core::time_point now = context_.clock.Now();
   if (!replica.IsServing()) return;
-  // Engines that ignore fencing numbers can't tell an old leader's order from
-  // ours. An order that it sent just before its lease ended may still be on its
-  // way for the time that a send may take.
+  // Engines that ignore fencing numbers can't distinguish an old leader's order
+  // from a new one. An order that the old leader sent just before its lease
+  // expired may still arrive within the send timeout.
   if (now - replica.ElectedAt() < kSendTimeout) return;
   if (book_.term != replica.Term()) {
     control::StartOrderBook(book_, replica.Term(), now);
@@ -63,8 +63,8 @@
   }
 }
 
-// The engines of one site. Its pools are planned by themselves: each site keeps
-// its own floor.
+// Adds the engines of one site. The pools of each site are planned separately,
+// because each site has its own swap floor.
 void order_service::AddSite(const std::string& site, core::time_point now,
                             plan_input& input) const {
   const control::control_state& state = host_.Replica().State();
@@ -96,8 +96,8 @@
 }
 
 void order_service::Send(const control::planned_order& order) {
-  // Checked again right before the effect: the process may have been frozen
-  // since it planned.
+  // Checked again directly before sending, because the process may have been
+  // suspended after planning.
   if (!host_.Replica().IsServing()) return;
   transport::http_request request;
   request.url = "http://" + order.address + "/v1/orders";
@@ -126,10 +126,10 @@
                                 {"status", std::to_string(response.status)},
                                 {"error", response.error}});
                            // An order that may have arrived stays open until
-                           // the engine reports or its time is over.
-                           const bool is_known_off =
+                           // the engine reports or the order times out.
+                           const bool is_known_not_sent =
                                response.how != transport::delivery::kMaybeSent;
-                           if (is_known_off) {
+                           if (is_known_not_sent) {
                              control::NoteOrderFailed(book_, order.engine);
                            }
                          });
--- a/packages/hickoryd/order_service.h
+++ b/packages/hickoryd/order_service.h
@@ -1,8 +1,8 @@
 #ifndef HICKORYWOOD_HICKORYD_ORDER_SERVICE_H_
 #define HICKORYWOOD_HICKORYD_ORDER_SERVICE_H_
 
-// Sends the planned orders to engines while this instance leads. On the control
-// thread.
+// Sends the planned orders to engines while this instance is the leader. Runs
+// on the control thread.
 
 #include <map>
 #include <string>
@@ -39,7 +39,7 @@
   replica_host& host_;
   membership_service& membership_;
   control::order_book book_;
-  // Parsed from the files of `configs_revision_`, not at each plan.
+  // Parsed once per `configs_revision_` instead of at each plan.
   std::map<std::string, settings::site_config> configs_;
   uint64_t configs_revision_ = 0;
 };
--- a/packages/hickoryd/parts.h
+++ b/packages/hickoryd/parts.h
@@ -18,8 +18,8 @@
 
 namespace hickorywood::hickoryd {
 
-// The services of one process, for the two listeners. `host` is null without
-// the control role.
+// The services of one process that the two listeners use. `host` is null
+// without the control role.
 struct instance_parts {
   instance_context& context;
   replica_host* host;
--- a/packages/hickoryd/peer_api.cc
+++ b/packages/hickoryd/peer_api.cc
@@ -15,8 +15,8 @@
 
 constexpr core::milliseconds kRpcWait{2000};
 
-// Runs `work` on the control thread and waits for what it passes to its
-// callback. A JSON-RPC handler has to return its answer, so it holds this
+// Runs `work` on the control thread and waits for the value that it passes to
+// its callback. A JSON-RPC handler has to return its response and so blocks a
 // thread of the listener; the wait is bounded.
 std::optional<std::string> WaitForControl(
     core::event_loop& loop,
@@ -42,7 +42,7 @@
 peer_api::peer_api(instance_parts parts) : parts_(parts) {
   std::map<std::string, transport::rpc_method> methods;
   methods[kConsensusMethod] = [this](const std::string& payload) {
-    return StepConsensus(payload);
+    return HandleConsensusMessage(payload);
   };
   methods["membership.exchange"] = [this](const std::string& payload) {
     return ExchangeTables(payload);
@@ -51,8 +51,8 @@
   routes_["/peer/v1/rpc"] = [this](const exchange_ptr& exchange) {
     ReplyJson(exchange, 200, rpc_->Handle(exchange->Body()));
   };
-  // Answers without touching any state: the shortest round trip that the
-  // transport allows.
+  // Responds without accessing any state, to measure the minimum round trip of
+  // the transport.
   routes_["/peer/v1/empty"] = [](const exchange_ptr& exchange) {
     ReplyJson(exchange, 200, "{}");
   };
@@ -70,7 +70,7 @@
         {{"path", exchange->Path()}, {"from", exchange->RemoteAddress()}});
     const int status = access == transport::access_result::kMissing ? 401 : 403;
     ReplyFailure(exchange, status, request_outcome::kNotRun,
-                 "a peer token is needed", core::milliseconds(0));
+                 "a valid peer token is required", core::milliseconds(0));
     return;
   }
   const auto found = routes_.find(exchange->Path());
@@ -82,7 +82,8 @@
   found->second(exchange);
 }
 
-std::optional<std::string> peer_api::StepConsensus(const std::string& payload) {
+std::optional<std::string> peer_api::HandleConsensusMessage(
+    const std::string& payload) {
   if (parts_.host == nullptr) {
     return core::Fail(core::reason_code::kNotFound, "no control role here");
   }
@@ -144,7 +145,7 @@
   };
   routes_[leader_client::kStepPath] = [this,
                                        &control](const exchange_ptr& exchange) {
-    const auto question = DecodeBody<step_question>(exchange);
+    const auto question = DecodeBody<step_request>(exchange);
     if (!question) return;
     RunOn(control, exchange, [this, question, exchange] {
       control::replica& replica = parts_.host->Replica();
--- a/packages/hickoryd/peer_api.h
+++ b/packages/hickoryd/peer_api.h
@@ -1,10 +1,10 @@
 #ifndef HICKORYWOOD_HICKORYD_PEER_API_H_
 #define HICKORYWOOD_HICKORYD_PEER_API_H_
 
-// The routes of the peer listener: the system's own links. Consensus messages
-// and table exchanges are JSON-RPC; calls that wait for an event (views,
-// proposals, pulls) are plain POSTs, since a JSON-RPC handler would hold a
-// thread while it waits.
+// The routes of the peer listener, for links between instances. Consensus
+// messages and table exchanges are JSON-RPC. Calls that wait for an event
+// (views, proposals, pulls) are plain POSTs, because a JSON-RPC handler would
+// block a thread while it waits.
 
 #include <functional>
 #include <map>
@@ -26,7 +26,7 @@
  private:
   using route = std::function<void(const exchange_ptr&)>;
 
-  std::optional<std::string> StepConsensus(const std::string& payload);
+  std::optional<std::string> HandleConsensusMessage(const std::string& payload);
   std::optional<std::string> ExchangeTables(const std::string& payload);
   void AddControlRoutes();
   void AddTrafficRoutes();
--- a/packages/hickoryd/peer_links.cc
+++ b/packages/hickoryd/peer_links.cc
@@ -9,9 +9,10 @@
 namespace hickorywood::hickoryd {
 namespace {
 
-// A call that may wait longer than this opens its own connection: on one that
-// went silent it would be noticed only after all that time.
-constexpr core::milliseconds kLongestSharedWait{2500};
+// A call with a longer timeout opens its own connection: on a shared connection
+// that has become unresponsive, the failure would be detected only after the
+// whole timeout.
+constexpr core::milliseconds kMaxSharedConnectionTimeout{2500};
 constexpr char kRpcPath[] = "/peer/v1/rpc";
 
 }  // namespace
@@ -84,7 +85,7 @@
   request.connect_timeout = timeout;
   request.total_timeout = timeout;
   request.needs_fresh_connection =
-      timeout > kLongestSharedWait || NeedsFreshConnection(peer);
+      timeout > kMaxSharedConnectionTimeout || NeedsFreshConnection(peer);
   client_.Send(std::move(request), [this, peer, done = std::move(done)](
                                        transport::http_response response) {
     if (response.is_timeout) NoteSilence(peer);
--- a/packages/hickoryd/peer_links.h
+++ b/packages/hickoryd/peer_links.h
@@ -25,24 +25,24 @@
              const settings::instance_settings& settings,
              transport::http_client& client);
 
-  // All other instances, and the control instances among them (this one
-  // included if it is one).
+  // All other instances; and all control instances, including this one if it
+  // has the control role.
   const std::vector<std::string>& Others() const { return others_; }
   const std::vector<std::string>& ControlInstances() const { return control_; }
 
-  // How many instances each site has, this one included.
+  // The number of instances of each site, including this one.
   std::map<std::string, size_t> SiteSizes() const;
 
-  // Where this instance's own peer listener really listens, for calls to
-  // itself.
+  // Sets the address that the peer listener of this instance is bound to, for
+  // calls to itself.
   void SetOwnAddress(const std::string& address);
 
-  // Sends `body` to `path` of `peer`. `done` runs on the client thread, once.
+  // Sends `body` to `path` of `peer`. `done` is called once, on the client
+  // thread.
   void Call(const std::string& peer, const std::string& path, std::string body,
             core::milliseconds timeout, completion done);
 
-  // The same for a JSON-RPC method; an empty payload means that the call
-  // failed.
+  // Calls a JSON-RPC method; an empty payload means that the call failed.
   void CallRpc(const std::string& peer, const std::string& method,
                const std::string& payload, core::milliseconds timeout,
                std::function<void(std::optional<std::string>)> done);
--- a/packages/hickoryd/replica_host.cc
+++ b/packages/hickoryd/replica_host.cc
@@ -57,12 +57,12 @@
       peer.node, kConsensusMethod, core::Encode(output), timeout,
       [this, peer](const std::optional<std::string>& payload) {
         context_.control.Post(
-            [this, peer, payload] { TakeAnswers(payload, peer); });
+            [this, peer, payload] { HandleReplies(payload, peer); });
       });
 }
 
-void replica_host::TakeAnswers(const std::optional<std::string>& payload,
-                               const consensus::member& peer) {
+void replica_host::HandleReplies(const std::optional<std::string>& payload,
+                                 const consensus::member& peer) {
   const std::optional<message_list> answers =
       payload ? core::Decode<message_list>(*payload)
               : std::optional<message_list>();
@@ -76,7 +76,7 @@
   }
 }
 
-// Goes on until the leader has made this replica a voter.
+// Repeats until the leader has made this replica a voter.
 void replica_host::AskToJoin() {
   if (!replica_->NeedsToJoin()) return;
   const std::string& self_node = context_.settings.id;
--- a/packages/hickoryd/replica_host.h
+++ b/packages/hickoryd/replica_host.h
@@ -2,7 +2,7 @@
 #define HICKORYWOOD_HICKORYD_REPLICA_HOST_H_
 
 // Runs the replica of a control instance on the control thread and connects it
-// to the other ones.
+// to the other replicas.
 
 #include <functional>
 #include <memory>
@@ -17,17 +17,17 @@
 
 class replica_host : public control::message_sender {
  public:
-  // `on_failure` is called when the storage failed: the process has to end.
+  // `on_failure` is called when the storage failed; the process must exit.
   replica_host(instance_context& context, std::function<void()> on_failure);
 
-  // Loads the data folder and schedules the replica's work. Call before the
-  // control loop starts.
+  // Loads the data folder and schedules the timers of the replica. Call before
+  // the control loop starts.
   bool Start();
 
   control::replica& Replica() { return *replica_; }
 
-  // Answers a consensus message; on the control thread. `reply` gets the
-  // encoded answers.
+  // Handles a consensus message on the control thread. `reply` receives the
+  // encoded replies.
   void Receive(const consensus::message& input,
                std::function<void(std::string)> reply);
 
@@ -35,15 +35,15 @@
 
  private:
   void AskToJoin();
-  void TakeAnswers(const std::optional<std::string>& payload,
-                   const consensus::member& peer);
+  void HandleReplies(const std::optional<std::string>& payload,
+                     const consensus::member& peer);
 
   instance_context& context_;
   consensus::file_storage storage_;
   std::unique_ptr<control::replica> replica_;
 };
 
-// Several messages in one answer.
+// Several messages in one reply.
 struct message_list {
   std::vector<consensus::message> messages;
 };
--- a/packages/hickoryd/report.cc
+++ b/packages/hickoryd/report.cc
@@ -59,9 +59,9 @@
   return burn;
 }
 
-void AskAllPeers(instance_context& context, const std::string& path,
-                 const std::string& body, core::milliseconds timeout,
-                 std::function<void(peer_answers)> done) {
+void CallAllPeers(instance_context& context, const std::string& path,
+                  const std::string& body, core::milliseconds timeout,
+                  std::function<void(peer_answers)> done) {
   struct gathering {
     std::mutex mutex;
     peer_answers answers;
--- a/packages/hickoryd/report.h
+++ b/packages/hickoryd/report.h
@@ -1,9 +1,9 @@
 #ifndef HICKORYWOOD_HICKORYD_REPORT_H_
 #define HICKORYWOOD_HICKORYD_REPORT_H_
 
-// What one instance tells of itself for `hickoryctl status` and `hickoryctl
-// report burn`, and the collection of the same from all the others. An instance
-// that does not answer is named.
+// The status and burn reports of an instance for `hickoryctl status` and
+// `hickoryctl report burn`, and the collection of the reports of all instances.
+// Instances that do not respond are listed.
 
 #include <cstdint>
 #include <functional>
@@ -55,30 +55,30 @@
                                                 generations, has_replica,
                                                 replica, endpoints, weights)
 
-// Burn of one instance with its site's objectives, as allowed bad shares.
+// Burn of one instance with the objectives of its site, as allowed bad shares.
 struct instance_burn {
   std::string id;
   std::string site;
-  std::map<std::string, double> allowed_bad;  // by objective word
+  std::map<std::string, double> allowed_bad;  // by objective name
   std::vector<rollout::burn_sum> sums;
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(instance_burn, id, site,
                                                 allowed_bad, sums)
 
-// The parts of a status that the routing view has.
+// The fields of a status that come from the routing view.
 instance_status StatusFromView(const instance_context& context);
 
 instance_burn MakeBurn(const instance_context& context,
                        const rollout::burn_recorder& recorder);
 
-// Answers by instance; empty: it did not answer.
+// Responses by instance; empty if the instance did not respond.
 using peer_answers = std::map<std::string, std::optional<std::string>>;
 
-// Sends `body` to `path` of all other instances and collects what comes within
-// `timeout`. `done` runs on the client thread.
-void AskAllPeers(instance_context& context, const std::string& path,
-                 const std::string& body, core::milliseconds timeout,
-                 std::function<void(peer_answers)> done);
+// Sends `body` to `path` of all other instances and collects the responses that
+// arrive within `timeout`. `done` runs on the client thread.
+void CallAllPeers(instance_context& context, const std::string& path,
+                  const std::string& body, core::milliseconds timeout,
+                  std::function<void(peer_answers)> done);
 
 }  // namespace hickorywood::hickoryd
 
--- a/packages/hickoryd/routing_view.h
+++ b/packages/hickoryd/routing_view.h
@@ -1,8 +1,8 @@
 #ifndef HICKORYWOOD_HICKORYD_ROUTING_VIEW_H_
 #define HICKORYWOOD_HICKORYD_ROUTING_VIEW_H_
 
-// What the traffic threads need of the control state: an immutable copy that
-// the control thread publishes anew whenever something changed.
+// The part of the control state that the traffic threads need: an immutable
+// copy that the control thread publishes after each change.
 
 #include <cstdint>
 #include <map>
@@ -34,8 +34,8 @@
   uint64_t revision = 0;
   std::optional<settings::site_config> config;  // empty before the first lease
   core::time_point lease_until{};
-  // No instance of this site holds a lease, and most of them were heard to say
-  // so.
+  // True if no instance of this site is known to hold a lease, and a majority
+  // of its instances is known to be without one.
   bool is_site_dark = false;
   std::map<std::string, std::vector<endpoint_view>> engines;   // by model
   std::map<std::string, std::vector<endpoint_view>> services;  // by name
@@ -46,14 +46,14 @@
 // Whether new work may be admitted under the configuration of `view`.
 bool MayServe(const routing_view& view, core::time_point now);
 
-// The pool's configuration; null when the site has none of that name.
+// The configuration of the pool; null when the site has no pool of that name.
 const settings::pool_config* FindPool(const routing_view& view,
                                       const std::string& pool);
 
-// Whether another instance counts as alive: heard of not long ago.
+// Whether the last contact with the instance is recent enough.
 bool IsAlive(const instance_view& instance, core::time_point now);
 
-// Holds the latest view. Safe from any thread.
+// Stores the latest view. Safe from any thread.
 class view_board {
  public:
   void Publish(std::shared_ptr<const routing_view> view);
--- a/packages/hickoryd/supervisor.h
+++ b/packages/hickoryd/supervisor.h
@@ -2,9 +2,9 @@
 #define HICKORYWOOD_HICKORYD_SUPERVISOR_H_
 
 // The supervisor tree of the process. A supervisor starts its children in order
-// and stops them in reverse. A child that fails is restarted together with
-// those after it, up to a limit per window; past the limit the supervisor
-// itself fails, and at the root the process ends instead of limping.
+// and stops them in reverse. A child that fails is restarted together with the
+// children after it, up to a limit per window. Past the limit the supervisor
+// itself fails; at the root the process exits instead of running degraded.
 
 #include <deque>
 #include <functional>
@@ -18,7 +18,8 @@
 
 struct child_spec {
   std::string name;
-  std::function<bool()> start;  // false with the last reason: could not start
+  std::function<bool()>
+      start;  // false, with the last reason set, if it fails to start
   std::function<void()> stop;
   std::function<bool()> is_healthy;  // empty: always
   int restart_limit = 3;             // within restart_window
@@ -30,15 +31,16 @@
   supervisor(std::string name, const core::runtime_clock& clock);
 
   void Add(child_spec child);
-  // Adds another supervisor as one child.
+  // Adds another supervisor as a child.
   void AddTree(const std::shared_ptr<supervisor>& tree, int restart_limit);
 
-  // Starts all children. False when one can't start; those before it are
-  // stopped again.
+  // Starts all children. If one fails to start, stops those started before it
+  // and returns false.
   bool Start();
   void Stop();
 
-  // Restarts children that report ill. False once a child passed its limit.
+  // Restarts children that are not healthy. False once a child has exceeded its
+  // restart limit.
   bool Check();
 
  private:
