--- a/packages/transport/access.h
+++ b/packages/transport/access.h
@@ -8,7 +8,7 @@
 enum class access_result { kGranted, kMissing, kWrong };
 
 // Checks "Authorization: Bearer TOKEN" against `expected`. An empty `expected`
-// grants everybody.
+// grants access to all requests.
 access_result CheckBearer(const std::string& authorization,
                           const std::string& expected);
 
--- a/packages/transport/engine_protocol.cc
+++ b/packages/transport/engine_protocol.cc
@@ -8,11 +8,11 @@
 
 using nlohmann::json;
 
-constexpr size_t kLongestEvent = 1024 * 1024;
+constexpr size_t kMaxEventBytes = 1024 * 1024;
 constexpr char kDataPrefix[] = "data:";
 constexpr char kEndMark[] = "[DONE]";
 
-const char* OrderWord(order_kind kind) {
+const char* OrderKindName(order_kind kind) {
   switch (kind) {
     case order_kind::kLoadVersion:
       return "load_version";
@@ -86,14 +86,14 @@
     events.push_back(std::move(next));
   }
   pending_.erase(0, start);
-  if (pending_.size() > kLongestEvent) {
+  if (pending_.size() > kMaxEventBytes) {
     return core::Fail(core::reason_code::kInvalid, "an event is too long");
   }
   return events;
 }
 
 std::string EncodeOrder(const engine_order& order) {
-  const json tree = {{"kind", OrderWord(order.kind)},
+  const json tree = {{"kind", OrderKindName(order.kind)},
                      {"fence", order.fence},
                      {"version", order.version},
                      {"argument", order.argument}};
--- a/packages/transport/engine_protocol.h
+++ b/packages/transport/engine_protocol.h
@@ -1,8 +1,8 @@
 #ifndef HICKORYWOOD_TRANSPORT_ENGINE_PROTOCOL_H_
 #define HICKORYWOOD_TRANSPORT_ENGINE_PROTOCOL_H_
 
-// What is said to model engines: OpenAI-style completion streams whose chunks
-// name the weight version, and orders.
+// The protocol of model engines: OpenAI-style completion streams whose chunks
+// contain the weight version, and orders.
 
 #include <cstdint>
 #include <optional>
@@ -17,16 +17,16 @@
 struct completion_request {
   std::string request_id;
   std::string prompt;
-  int64_t max_tokens = 0;  // in all, with the resumed ones
-  int priority = 0;        // lower goes first
+  int64_t max_tokens = 0;  // total, including the resumed tokens
+  int priority = 0;        // lower values are served first
   std::string resume_text;
-  int64_t resume_tokens =
-      0;  // tokens of resume_text; the stream goes on from this offset
+  // Token count of resume_text; the stream continues from this offset.
+  int64_t resume_tokens = 0;
 };
 
 std::string EncodeCompletionRequest(const completion_request& request);
 
-// Takes an event stream apart, whatever the pieces in which it arrives.
+// Parses an event stream that arrives in pieces of any size.
 class completion_stream {
  public:
   struct event {
@@ -34,8 +34,9 @@
     rollout::generation_chunk chunk;
   };
 
-  // Adds bytes and returns the events that are complete now. Empty with
-  // kInvalid when the stream is malformed; it is of no use afterwards.
+  // Adds bytes and returns the events that are now complete. Empty with
+  // kInvalid when the stream is malformed; the parser must not be used
+  // afterwards.
   std::optional<std::vector<event>> Feed(std::string_view bytes);
 
  private:
@@ -46,7 +47,8 @@
 
 struct engine_order {
   order_kind kind = order_kind::kLoadVersion;
-  uint64_t fence = 0;  // fencing number: rises with every order of the fleet
+  uint64_t fence =
+      0;  // fencing number, increases with every order of the fleet
   int64_t version = 0;
   std::string argument;  // adapter, model or role
 };
--- a/packages/transport/http_client.cc
+++ b/packages/transport/http_client.cc
@@ -15,13 +15,13 @@
 namespace {
 
 constexpr int kPollMillis = 1000;
-constexpr long kMostIdleConnections = 512;
-// An idle connection older than this is not used again: something between the
-// ends may have lost it.
+constexpr long kMaxIdleConnections = 512;
+// Older idle connections are not reused: a network device on the path may have
+// dropped them.
 constexpr long kIdleAgeSeconds = 20;
 constexpr long kKeepaliveIdleSeconds = 5;
 constexpr long kKeepaliveIntervalSeconds = 2;
-// Unacknowledged data for this long means that the connection has gone silent.
+// A connection with unacknowledged data for this long is considered dead.
 constexpr unsigned kUserTimeoutMillis = 5000;
 
 bool EqualNoCase(const std::string& left, const std::string& right) {
@@ -38,7 +38,7 @@
   return CURL_SOCKOPT_OK;
 }
 
-// One request under way. Lives on the client thread.
+// An active request. Used only on the client thread.
 struct transfer {
   uint64_t id = 0;
   http_request request;
@@ -46,7 +46,7 @@
   http_response response;
   CURL* easy = nullptr;
   curl_slist* headers = nullptr;
-  bool is_status_told = false;
+  bool is_status_reported = false;
 
   ~transfer() {
     if (easy != nullptr) curl_easy_cleanup(easy);
@@ -54,18 +54,18 @@
   }
 };
 
-void TellStatus(transfer& item) {
-  if (item.is_status_told || !item.request.on_status) return;
+void ReportStatus(transfer& item) {
+  if (item.is_status_reported || !item.request.on_status) return;
   long status = 0;
   curl_easy_getinfo(item.easy, CURLINFO_RESPONSE_CODE, &status);
-  item.is_status_told = true;
+  item.is_status_reported = true;
   item.request.on_status(static_cast<int>(status));
 }
 
 size_t OnBody(char* data, size_t size, size_t count, void* context) {
   auto& item = *static_cast<transfer*>(context);
   const std::string_view bytes(data, size * count);
-  TellStatus(item);
+  ReportStatus(item);
   if (item.request.on_data) {
     item.request.on_data(bytes);
   } else {
@@ -80,10 +80,11 @@
   return connects == 0;
 }
 
-// Whether an answer, of which all headers are there, is that of the request: it
-// names it, or it is the first on its connection. One without a name leaves
-// nothing by which a second one could be told, so its connection is closed.
-bool IsOwnAnswer(transfer& item) {
+// Whether the response, whose headers are complete, belongs to the request: it
+// contains the id of the request, or it has no id and is the first on its
+// connection. Without an id a second response on that connection could not be
+// detected, so the connection is closed.
+bool IsResponseToRequest(transfer& item) {
   const http_header& name = item.request.name;
   if (name.value.empty()) return true;
   const std::string found = item.response.Header(name.name);
@@ -93,7 +94,8 @@
   return true;
 }
 
-// The lines of interim answers come here too (RFC 9110, section 15.2).
+// The header callback also receives the lines of interim responses (RFC 9110,
+// section 15.2).
 bool IsInterim(CURL* easy) {
   long status = 0;
   curl_easy_getinfo(easy, CURLINFO_RESPONSE_CODE, &status);
@@ -104,8 +106,9 @@
   auto& item = *static_cast<transfer*>(context);
   const std::string line(data, size * count);
   if (line == "\r\n" && !IsInterim(item.easy)) {
-    // Anything but the size ends the transfer and its connection.
-    return IsOwnAnswer(item) ? line.size() : 0;
+    // Any return value other than the size aborts the transfer and closes its
+    // connection.
+    return IsResponseToRequest(item) ? line.size() : 0;
   }
   if (line.starts_with("HTTP/")) item.response.headers.clear();
   const size_t colon = line.find(':');
@@ -120,9 +123,9 @@
   return line.size();
 }
 
-// A transfer that was cut off counts as not sent only if nothing was written to
-// its connection.
-delivery HowFar(CURL* easy, CURLcode code) {
+// An interrupted transfer counts as not sent only if nothing was written to its
+// connection.
+delivery DeliveryOf(CURL* easy, CURLcode code) {
   if (code == CURLE_OK) return delivery::kAnswered;
   long request_bytes = 0;
   curl_easy_getinfo(easy, CURLINFO_REQUEST_SIZE, &request_bytes);
@@ -149,7 +152,7 @@
   std::map<uint64_t, std::unique_ptr<transfer>> active;  // client thread only
 
   void Run();
-  bool TakeWork();
+  bool ProcessQueue();
   void Begin(std::unique_ptr<transfer> item);
   void Finish(uint64_t id, CURLcode code);
   void FinishDone();
@@ -175,9 +178,9 @@
     item->headers = curl_slist_append(
         item->headers, (request.name.name + ": " + request.name.value).c_str());
   }
-  // Pistache closes the connection after the answer unless it is asked for; and
-  // libcurl would hold back larger bodies for an interim answer that Pistache
-  // does not give.
+  // Pistache closes the connection after the response unless keep-alive is
+  // requested. "Expect:" disables the interim response for which libcurl would
+  // delay larger bodies, since Pistache does not send it.
   item->headers = curl_slist_append(
       item->headers,
       request.is_single_shot ? "Connection: close" : "Connection: keep-alive");
@@ -222,14 +225,14 @@
   long status = 0;
   curl_easy_getinfo(item->easy, CURLINFO_RESPONSE_CODE, &status);
   response.status = static_cast<int>(status);
-  response.how = HowFar(item->easy, code);
+  response.how = DeliveryOf(item->easy, code);
   response.is_timeout = code == CURLE_OPERATION_TIMEDOUT;
   if (code != CURLE_OK) response.error = curl_easy_strerror(code);
   if (code == CURLE_WRITE_ERROR) {
-    response.error = "an answer that may belong to another request";
+    response.error = "the response may belong to another request";
   }
   curl_multi_remove_handle(multi, item->easy);
-  if (code == CURLE_OK) TellStatus(*item);
+  if (code == CURLE_OK) ReportStatus(*item);
   item->done(std::move(response));
 }
 
@@ -244,8 +247,9 @@
   }
 }
 
-// Takes over what other threads left. False when the client stops.
-bool http_client::impl::TakeWork() {
+// Starts and cancels the requests that other threads queued. False when the
+// client stops.
+bool http_client::impl::ProcessQueue() {
   std::deque<std::unique_ptr<transfer>> starts;
   std::deque<uint64_t> cancels;
   bool stop = false;
@@ -265,7 +269,7 @@
 }
 
 void http_client::impl::Run() {
-  while (TakeWork()) {
+  while (ProcessQueue()) {
     int running = 0;
     curl_multi_perform(multi, &running);
     FinishDone();
@@ -277,7 +281,7 @@
   static std::once_flag once;
   std::call_once(once, [] { curl_global_init(CURL_GLOBAL_DEFAULT); });
   impl_->multi = curl_multi_init();
-  curl_multi_setopt(impl_->multi, CURLMOPT_MAXCONNECTS, kMostIdleConnections);
+  curl_multi_setopt(impl_->multi, CURLMOPT_MAXCONNECTS, kMaxIdleConnections);
 }
 
 http_client::~http_client() {
--- a/packages/transport/http_client.h
+++ b/packages/transport/http_client.h
@@ -1,8 +1,8 @@
 #ifndef HICKORYWOOD_TRANSPORT_HTTP_CLIENT_H_
 #define HICKORYWOOD_TRANSPORT_HTTP_CLIENT_H_
 
-// HTTP requests over libcurl, all on one thread of their own. Callbacks run on
-// that thread and must only hand the result on.
+// HTTP requests over libcurl, all on one dedicated thread. Callbacks run on
+// that thread and must only pass the result on.
 
 #include <atomic>
 #include <chrono>
@@ -28,34 +28,35 @@
   std::string method = "POST";
   std::string url;  // "http://IP:PORT/path"
   std::vector<http_header> headers;
-  // The header by which the request and its answer name the request; empty: it
-  // has no name.
+  // The header that identifies the request in the request and in its response;
+  // empty if it has no id.
   http_header name;
   std::string body;
   milliseconds connect_timeout{500};
-  milliseconds total_timeout{
-      0};  // 0: none; streams have progress timers of their own
-  // Opens a connection of its own and closes it afterwards. libcurl sends a
-  // request again by itself when a reused connection turns out to be dead, POST
-  // included; on a connection of its own a request is sent once.
+  // 0: none; the callers of streams run their own progress timers.
+  milliseconds total_timeout{0};
+  // Sends the request exactly once, on a dedicated connection that is closed
+  // afterwards. On a reused connection that turns out to be closed libcurl
+  // sends a request again by itself, including POST.
   bool is_single_shot = false;
-  // Leaves the idle connections alone: they may have gone silent with the one
-  // that timed out.
+  // Does not reuse idle connections: they may have become unresponsive together
+  // with the one that timed out.
   bool needs_fresh_connection = false;
-  // Only opens a connection and closes it again: answered, without a status.
+  // Only opens and closes a connection; on success the result is kAnswered
+  // without a status.
   bool only_connects = false;
-  // Receives the body piece by piece; without it the body is collected in the
+  // Receives the body in pieces. If it is not set, the body is collected in the
   // response.
   std::function<void(std::string_view)> on_data;
-  // Called once the status of a streamed answer is known.
+  // Called once, when the status of a streamed response is known.
   std::function<void(int status)> on_status;
 };
 
-// How far a request got.
+// How far a request progressed.
 enum class delivery {
-  kNotSent,    // no byte of it left this process
-  kMaybeSent,  // it may have arrived; there is no whole answer
-  kAnswered,   // a whole answer was received
+  kNotSent,    // no byte of it was sent
+  kMaybeSent,  // it may have arrived; no complete response
+  kAnswered,   // a complete response was received
 };
 
 struct http_response {
@@ -66,7 +67,7 @@
   bool is_timeout = false;
   std::string error;
 
-  // The value of a header, or empty. Names compare without case.
+  // The value of a header, or empty. Names are compared case-insensitively.
   std::string Header(const std::string& name) const;
 };
 
@@ -80,15 +81,14 @@
   http_client& operator=(const http_client&) = delete;
 
   void Start();
-  // Cancels what is under way; each completion is called.
+  // Cancels the active requests; the completion of each one is called.
   void Stop();
 
   // Starts a request and returns its id. `done` is called once, also after
   // Cancel().
   uint64_t Send(http_request request, completion done);
 
-  // Closes the connection of a request that is under way, so that the other
-  // side notices.
+  // Closes the connection of an active request, so that the server detects it.
   void Cancel(uint64_t id);
 
   struct impl;
--- a/packages/transport/http_server.cc
+++ b/packages/transport/http_server.cc
@@ -20,19 +20,19 @@
 
 namespace http = Pistache::Http;
 
-// Pistache counts these from the start of a request also while its answer is
-// still being worked on, and then answers 408 by itself: they must be longer
-// than any request may take.
+// Pistache measures these timeouts from the start of a request, also while its
+// handler is still running, and then answers 408 itself. They must exceed the
+// duration of any request.
 constexpr auto kConnectionTimeout = std::chrono::minutes(30);
 
-// Past its own limit Pistache answers 413 in the middle of the body and takes
-// the rest for the next request, so that a later request on the same connection
-// gets an answer that is not its own. Requests up to this many times our limit
-// are read whole and refused by us instead.
+// When a body exceeds its own limit, Pistache answers 413 in the middle of the
+// body and parses the rest as the next request, so that a later request on the
+// connection receives a response that is not its own. Therefore requests up to
+// this many times the configured limit are read completely and rejected here.
 constexpr size_t kHardLimitFactor = 4;
 constexpr int kStatusTooLarge = 413;
 
-// Pistache writes only typed headers to the wire; this one carries any name.
+// Pistache sends only typed headers; this type allows any name.
 class any_header : public http::Header::Header {
  public:
   any_header(std::string name, std::string value)
@@ -52,13 +52,14 @@
   std::atomic<int64_t> in_flight{0};
 };
 
-// Remembers what to do when a connection closes. Shared by a listener and its
-// exchanges, which may outlive it.
+// Stores the callbacks to run when a connection closes. Shared by a listener
+// and its exchanges, which may outlive it.
 class disconnect_registry {
  public:
-  void Add(size_t peer_id, uint64_t exchange_id, std::function<void()> gone) {
+  void Add(size_t peer_id, uint64_t exchange_id,
+           std::function<void()> on_disconnect) {
     const std::lock_guard<std::mutex> lock(mutex_);
-    watched_[peer_id][exchange_id] = std::move(gone);
+    watched_[peer_id][exchange_id] = std::move(on_disconnect);
   }
 
   void Remove(size_t peer_id, uint64_t exchange_id) {
@@ -144,8 +145,8 @@
     if (is_answered_ || is_streaming_) return;
     MarkAnswered();
     AddHeaders(headers, content_type);
-    // Sending fails when the caller has closed the connection; there is nobody
-    // left to tell.
+    // Sending fails when the caller has closed the connection. The error is
+    // ignored because no one can receive it.
     try {
       writer_.send(static_cast<http::Code>(status), body);
     } catch (const std::exception&) {
@@ -153,10 +154,10 @@
     }
   }
 
-  // Streams are framed here and handed to the connection as raw bytes.
-  // Pistache's own stream writes from the calling thread when it flushes, in a
-  // race with the connection's thread: a process that streamed from another
-  // thread died with "could not find write data".
+  // Streams are framed here and passed to the connection as raw bytes. The
+  // stream of Pistache writes from the calling thread when it flushes, which
+  // races with the thread of the connection: a process that streamed from
+  // another thread terminated with "could not find write data".
   void BeginStream(int status, const std::vector<http_header>& headers,
                    const std::string& content_type) override {
     const std::lock_guard<std::mutex> lock(mutex_);
@@ -186,18 +187,19 @@
     SendRaw("0\r\n\r\n");
   }
 
-  void OnDisconnect(std::function<void()> gone) override {
-    registry_->Add(peer_id_, id_, std::move(gone));
+  void OnDisconnect(std::function<void()> on_disconnect) override {
+    registry_->Add(peer_id_, id_, std::move(on_disconnect));
   }
 
  private:
-  // Nothing happens when the caller has closed the connection.
+  // Does nothing when the caller has closed the connection.
   void SendRaw(const std::string& bytes) {
     const auto peer = writer_.getPeer();
     if (peer) peer->send(Pistache::RawBuffer(bytes, bytes.size()));
   }
 
-  // Another instance takes an answer only if it names its call.
+  // Adds the call id of the request. Other instances accept a response only if
+  // it contains the id of their call.
   std::vector<http_header> WithCallId(std::vector<http_header> headers) const {
     std::string id = Header(core::kCallIdHeader);
     if (!id.empty()) headers.push_back({core::kCallIdHeader, std::move(id)});
@@ -226,7 +228,7 @@
   http::ResponseWriter writer_;
   std::string method_;
   std::string body_;
-  std::mutex mutex_;  // answers may come from several threads
+  std::mutex mutex_;  // several threads may answer
   bool is_streaming_ = false;
   std::atomic<bool> is_answered_{false};
   std::shared_ptr<shared_counters> counters_;
--- a/packages/transport/http_server.h
+++ b/packages/transport/http_server.h
@@ -1,8 +1,8 @@
 #ifndef HICKORYWOOD_TRANSPORT_HTTP_SERVER_H_
 #define HICKORYWOOD_TRANSPORT_HTTP_SERVER_H_
 
-// An HTTP listener on Pistache. Handlers get an exchange that they may answer
-// later and from any thread. This header does not include Pistache.
+// An HTTP listener based on Pistache. Handlers receive an exchange that they
+// may answer later and from any thread. This header does not include Pistache.
 
 #include <chrono>
 #include <cstdint>
@@ -15,8 +15,8 @@
 
 namespace hickorywood::transport {
 
-// One request and the way to answer it. Answered once: later answers are
-// ignored.
+// A request and the means to answer it. Only the first response is sent; later
+// ones are ignored.
 class http_exchange {
  public:
   virtual ~http_exchange() = default;
@@ -35,21 +35,21 @@
                      const std::string& content_type,
                      const std::string& body) = 0;
 
-  // A streamed answer: BeginStream once, then WriteStream, then EndStream.
+  // A streamed response: BeginStream once, then WriteStream, then EndStream.
   virtual void BeginStream(int status, const std::vector<http_header>& headers,
                            const std::string& content_type) = 0;
   virtual void WriteStream(const std::string& piece) = 0;
   virtual void EndStream() = 0;
 
-  // `gone` is called once, on any thread, if the caller closes the connection
-  // before the answer.
-  virtual void OnDisconnect(std::function<void()> gone) = 0;
+  // `on_disconnect` is called once, on any thread, if the caller closes the
+  // connection before the response.
+  virtual void OnDisconnect(std::function<void()> on_disconnect) = 0;
 };
 
 using http_handler = std::function<void(std::shared_ptr<http_exchange>)>;
 
 struct listener_options {
-  std::string address;  // "IP:PORT"; port 0 takes a free one
+  std::string address;  // "IP:PORT"; port 0 selects a free port
   int threads = 2;
   size_t request_bytes = 8 * 1024 * 1024;
 };
@@ -63,12 +63,12 @@
 
   // False with the reason when the address can't be bound.
   bool Start();
-  // Stops taking requests. Does not wait for those in flight: the owner drains
-  // first.
+  // Stops accepting requests. Does not wait for requests in flight; the owner
+  // drains them first.
   void Stop();
 
   uint16_t Port() const;
-  // Exchanges that are not answered yet.
+  // The number of exchanges that are not answered yet.
   int64_t InFlight() const;
 
   struct impl;
--- a/packages/transport/rpc.cc
+++ b/packages/transport/rpc.cc
@@ -13,8 +13,8 @@
 namespace {
 
 constexpr char kPayloadName[] = "payload";
-// Outside of the codes that JSON-RPC reserves: the library puts a text of its
-// own before the message of every code inside.
+// Not one of the codes that JSON-RPC reserves: for those the library prepends
+// its own text to the message.
 constexpr int kFailedCall = 1;
 class peer_connector : public jsonrpc::AbstractServerConnector {
  public:
@@ -26,7 +26,7 @@
   }
 };
 
-// Routes calls by name to the methods given.
+// Dispatches calls by method name.
 class method_server : public jsonrpc::AbstractServer<method_server> {
  public:
   method_server(peer_connector& connector,
@@ -51,8 +51,8 @@
   }
 
  private:
-  // The library wants a member function per method; HandleMethodCall takes its
-  // place.
+  // The library requires a member function per method, but HandleMethodCall
+  // handles all calls.
   void Unused(const Json::Value& /*input*/, Json::Value& /*output*/) {}
 
   const std::map<std::string, rpc_method> methods_;
@@ -60,7 +60,7 @@
 
 }  // namespace
 
-// In this order: the server refers to the connector.
+// The order of the members matters: the server refers to the connector.
 struct rpc_dispatcher::impl {
   explicit impl(const std::map<std::string, rpc_method>& methods)
       : server(connector, methods) {}
--- a/packages/transport/rpc.h
+++ b/packages/transport/rpc.h
@@ -1,11 +1,11 @@
 #ifndef HICKORYWOOD_TRANSPORT_RPC_H_
 #define HICKORYWOOD_TRANSPORT_RPC_H_
 
-// JSON-RPC 2.0 between the system's own processes. The server side is
-// libjson-rpc-cpp mounted on our peer listener: the library's own HTTP server
-// takes no address, so it would listen everywhere. The client side goes over
-// http_client, since the library's client blocks its thread. A call carries one
-// typed message as JSON text in the parameter "payload".
+// JSON-RPC 2.0 between hickoryd instances. The server side is libjson-rpc-cpp
+// mounted on the peer listener: the HTTP server of the library can't be bound
+// to one address, so it would listen on all of them. The client side uses
+// http_client, because the client of the library blocks its thread. A call
+// carries one typed message as JSON text in the parameter "payload".
 
 #include <functional>
 #include <map>
@@ -15,8 +15,8 @@
 
 namespace hickorywood::transport {
 
-// Answers one call, on the thread of the listener. Empty: the call failed, with
-// the last reason.
+// Handles one call on the thread of the listener. Empty with the last reason if
+// the call failed.
 using rpc_method =
     std::function<std::optional<std::string>(const std::string& payload)>;
 
@@ -27,8 +27,8 @@
   rpc_dispatcher(const rpc_dispatcher&) = delete;
   rpc_dispatcher& operator=(const rpc_dispatcher&) = delete;
 
-  // The JSON-RPC answer to a JSON-RPC request. Malformed requests get the
-  // protocol's own errors.
+  // The JSON-RPC response to a JSON-RPC request. Malformed requests get the
+  // errors of the protocol.
   std::string Handle(const std::string& request);
 
   struct impl;
@@ -40,7 +40,7 @@
 std::string EncodeRpcCall(const std::string& method,
                           const std::string& payload);
 
-// The payload of an answer; empty with the reason when it is an error or
+// The payload of a response; empty with the reason if it is an error or
 // malformed.
 std::optional<std::string> DecodeRpcAnswer(const std::string& answer);
 
