--- a/tests/unit/hickoryd/event_metrics_test.cc
+++ b/tests/unit/hickoryd/event_metrics_test.cc
@@ -20,7 +20,7 @@
   return core::EventCatalogue().front();
 }
 
-TEST(EventMetricsTest, EventsAreCountedAndTheirDurationsKept) {
+TEST(EventMetricsTest, CountsEventsAndRecordsDurations) {
   event_metrics metrics;
   const core::event_info& answered = Info(core::event_id::kRequestAnswered);
   metrics.Note(answered, {{"request", "a"}, {"ms", "30"}});
@@ -37,8 +37,8 @@
   EXPECT_THAT(text, Not(HasSubstr("duration_seconds_count{event=\"HK2005\"")));
 }
 
-// A duration that is no number counts as an event and nothing else.
-TEST(EventMetricsTest, BadDurationIsLeftOut) {
+// An event with a malformed duration is counted, but its duration is ignored.
+TEST(EventMetricsTest, MalformedDurationIsIgnored) {
   event_metrics metrics;
   metrics.Note(Info(core::event_id::kRequestAnswered), {{"ms", "soon"}});
   EXPECT_THAT(metrics.Text(),
@@ -46,7 +46,7 @@
   EXPECT_THAT(metrics.Text(), Not(HasSubstr("duration_seconds_count")));
 }
 
-TEST(EventMetricsTest, PageNamesAllFamilies) {
+TEST(EventMetricsTest, PageListsAllFamilies) {
   std::ifstream file(std::string(SOURCE_FOLDER) + "/docs/metrics.md");
   std::ostringstream page;
   page << file.rdbuf();
--- a/tests/unit/hickoryd/supervisor_test.cc
+++ b/tests/unit/hickoryd/supervisor_test.cc
@@ -12,7 +12,7 @@
 
 using core::milliseconds;
 
-// Writes down what happens to its children.
+// Records the starts and stops of its children.
 class SupervisorTest : public ::testing::Test {
  protected:
   SupervisorTest() { clock_.Pause(); }
@@ -36,7 +36,7 @@
   std::string history_;
 };
 
-TEST_F(SupervisorTest, StopsInReverse) {
+TEST_F(SupervisorTest, StopsInReverseOrder) {
   supervisor root("root", clock_);
   root.Add(Child("a", nullptr));
   root.Add(Child("b", nullptr));
@@ -58,9 +58,9 @@
   EXPECT_EQ(history_, "+a-a");
 }
 
-// A part fails again and again: it is restarted with those that depend on it,
-// up to its limit; then the parent gives up, so that the process ends instead
-// of limping.
+// A child that fails repeatedly is restarted, together with the children after
+// it, up to its limit. Then the supervisor fails, so that the process exits
+// instead of running degraded.
 TEST_F(SupervisorTest, RestartsUpToTheLimitOfTheWindow) {
   bool is_healthy = true;
   supervisor root("root", clock_);
@@ -79,7 +79,7 @@
   EXPECT_TRUE(root.Check());
 }
 
-TEST_F(SupervisorTest, TreeFailsUpwards) {
+TEST_F(SupervisorTest, FailureOfTreeReachesParent) {
   bool is_healthy = true;
   const auto inner = std::make_shared<supervisor>("inner", clock_);
   child_spec child = Child("a", &is_healthy);
@@ -89,7 +89,7 @@
   root.AddTree(inner, 1);
   ASSERT_TRUE(root.Start());
   is_healthy = false;
-  EXPECT_TRUE(root.Check());  // the inner tree as a whole was restarted
+  EXPECT_TRUE(root.Check());  // the complete inner tree was restarted
   is_healthy = false;
   EXPECT_FALSE(root.Check());
 }
--- a/tests/unit/transport/raw_server.cc
+++ b/tests/unit/transport/raw_server.cc
@@ -12,7 +12,7 @@
 
 constexpr int kPollMillis = 20;
 constexpr char kGoodAnswer[] = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
-constexpr char kCutAnswer[] =
+constexpr char kTruncatedAnswer[] =
     "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nonly this";
 
 void SendText(int client, const std::string& text) {
@@ -59,8 +59,8 @@
   }
 }
 
-// Reads until the body that the tests send is there. False when the caller
-// closed or the test ends.
+// Reads until the body sent by the tests has arrived. False when the client
+// closed the connection or the test ends.
 bool raw_server::ReadRequest(int client) {
   std::string text;
   char buffer[4096];
@@ -89,8 +89,8 @@
   switch (script_) {
     case script::kReadAndClose:
       return;
-    case script::kCutBody:
-      SendText(client, kCutAnswer);
+    case script::kTruncatedBody:
+      SendText(client, kTruncatedAnswer);
       return;
     case script::kAnswer:
       SendText(client, kGoodAnswer);
--- a/tests/unit/transport/raw_server.h
+++ b/tests/unit/transport/raw_server.h
@@ -7,8 +7,8 @@
 
 namespace hickorywood::transport {
 
-// A server on plain sockets, one connection at a time, that breaks off as
-// scripted.
+// A server on plain sockets that handles one connection at a time and closes it
+// as scripted.
 class raw_server {
  public:
   enum class script {
@@ -16,7 +16,7 @@
     kAnswerThenReadAndClose,  // first connection: answers one request, reads
                               // the next and closes
     kReadAndClose,            // reads a request and closes
-    kCutBody,                 // announces more body than it sends
+    kTruncatedBody,           // sends less body than Content-Length
   };
 
   explicit raw_server(script behaviour);
--- a/tests/unit/transport/second_answer_test.cc
+++ b/tests/unit/transport/second_answer_test.cc
@@ -1,4 +1,4 @@
-// The client of the own interface, before servers that answer twice.
+// Tests the client of the native API with servers that answer a request twice.
 
 #include <gtest/gtest.h>
 
@@ -19,15 +19,15 @@
 namespace {
 
 constexpr int kCalls = 3;
-constexpr int kTries = 3;
-constexpr milliseconds kSlack{300};
+constexpr int kAttemptsPerCall = 3;
+constexpr milliseconds kTimeoutMargin{300};
 constexpr char kIdHeader[] = "X-Request-Id";
 
 std::string AnswerTo(const std::string& id, bool is_second) {
   return std::string(is_second ? "second" : "first") + " answer to " + id;
 }
 
-// Calls to one server, one after the other, over a client of their own.
+// Consecutive calls to one server, with a separate client.
 struct series {
   net::stutter script;
   std::unique_ptr<net::stuttering_server> server;
@@ -40,7 +40,7 @@
   http_request request;
   request.url = "http://" + self.server->Address() + "/x";
   request.name = {kIdHeader, id};
-  request.total_timeout = self.script.work + kSlack;
+  request.total_timeout = self.script.work + kTimeoutMargin;
   std::promise<http_response> promise;
   client.Send(std::move(request), [&promise](http_response response) {
     promise.set_value(std::move(response));
@@ -48,11 +48,11 @@
   return promise.get_future().get();
 }
 
-void MakeCalls(series& self) {
+void RunCalls(series& self) {
   http_client client;
   client.Start();
   for (int i = 0; i < kCalls; ++i) {
-    for (int attempt = 0; attempt < kTries; ++attempt) {
+    for (int attempt = 0; attempt < kAttemptsPerCall; ++attempt) {
       const std::string id = std::to_string(i) + "-" + std::to_string(attempt);
       const http_response response = Call(client, self, id);
       if (response.how != delivery::kAnswered) continue;
@@ -79,13 +79,13 @@
   std::thread servers([&loop] { loop.run(); });
   std::vector<std::future<void>> calls;
   for (series& one : all) {
-    calls.push_back(std::async(std::launch::async, [&one] { MakeCalls(one); }));
+    calls.push_back(std::async(std::launch::async, [&one] { RunCalls(one); }));
   }
   for (std::future<void>& one : calls) one.get();
   loop.stop();
   servers.join();
   for (series& one : all) {
-    one.server.reset();  // before its loop
+    one.server.reset();  // destroyed before its loop
     std::ostringstream name;
     name << one.script;
     EXPECT_EQ(one.answered, kCalls) << name.str();
@@ -95,9 +95,9 @@
   }
 }
 
-// Guards against callers of the own interface, and its instances, that take the
-// answer to an earlier call.
-TEST(HttpClientTest, SecondAnswersBelongToNoCall) {
+// Guards against callers of the native API, and instances, that accept the
+// response to an earlier call.
+TEST(HttpClientTest, SecondAnswersAreNotAccepted) {
   std::list<series> all;
   for (const net::stutter& script : net::AllStutters()) {
     all.push_back({script});
@@ -105,8 +105,8 @@
   RunAll(all);
 }
 
-// Guards against endpoints that name no request being refused for it.
-TEST(HttpClientTest, AnswersThatNameNoRequestComeOverFreshConnections) {
+// Guards against rejecting endpoints whose responses contain no request id.
+TEST(HttpClientTest, AnswersWithoutRequestIdUseFreshConnections) {
   std::list<series> all;
   for (net::stutter script : net::AllStutters()) {
     if (script.moment == net::second_moment::kLate) continue;
--- a/tests/unit/transport/transport_test.cc
+++ b/tests/unit/transport/transport_test.cc
@@ -1,4 +1,5 @@
-// Real sockets: what libcurl and Pistache do that the design has to know about.
+// Tests on real sockets for the behavior of libcurl and Pistache that the
+// design depends on.
 
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
@@ -38,10 +39,10 @@
   return request;
 }
 
-// The server answers the first POST, keeps the connection, reads the second
-// POST on it and closes without an answer. libcurl sends that POST again by
-// itself on a new connection: the server gets it twice while the caller sees
-// one success. On a connection of its own it is sent once.
+// The server answers the first POST, keeps the connection open, reads the
+// second POST on it and closes it without a response. libcurl then sends that
+// POST again on a new connection: the server receives it twice while the caller
+// gets one success. On a dedicated connection it is sent once.
 TEST(HttpClientTest, SingleShotIsNeverSentTwice) {
   for (const bool is_single_shot : {false, true}) {
     raw_server server(raw_server::script::kAnswerThenReadAndClose);
@@ -51,16 +52,16 @@
     const http_response second =
         Send(client, Post(server.Port(), is_single_shot));
     if (is_single_shot) {
-      EXPECT_EQ(server.Requests(), 2);  // one each
+      EXPECT_EQ(server.Requests(), 2);  // one per call
     } else {
       EXPECT_EQ(second.status, 200);
-      EXPECT_EQ(server.Requests(),
-                3);  // the pitfall: the second one came twice
+      // libcurl sent the second request twice.
+      EXPECT_EQ(server.Requests(), 3);
     }
   }
 }
 
-TEST(HttpClientTest, RefusedConnectionSentNothing) {
+TEST(HttpClientTest, RefusedConnectionIsNotSent) {
   uint16_t port = 0;
   {
     raw_server server(raw_server::script::kAnswer);
@@ -71,8 +72,8 @@
   EXPECT_EQ(Send(client, Post(port, true)).how, delivery::kNotSent);
 }
 
-// The server resets the connection after it has read the request: it may have
-// run.
+// The server closes the connection after reading the request, so the request
+// may have run.
 TEST(HttpClientTest, ResetAfterReadingMayHaveRun) {
   raw_server server(raw_server::script::kReadAndClose);
   http_client client;
@@ -80,8 +81,8 @@
   EXPECT_EQ(Send(client, Post(server.Port(), true)).how, delivery::kMaybeSent);
 }
 
-TEST(HttpClientTest, CutBodyIsNoAnswer) {
-  raw_server server(raw_server::script::kCutBody);
+TEST(HttpClientTest, TruncatedBodyIsNotAnswered) {
+  raw_server server(raw_server::script::kTruncatedBody);
   http_client client;
   client.Start();
   const http_response response = Send(client, Post(server.Port(), true));
@@ -102,14 +103,14 @@
 
   void Handle(std::shared_ptr<http_exchange> exchange) {
     if (exchange->Path() == "/hang") {
-      exchange->OnDisconnect([this] { gone_.set_value(); });
+      exchange->OnDisconnect([this] { disconnected_.set_value(); });
       hanging_ = std::move(exchange);
       arrived_.set_value();
       return;
     }
     if (exchange->Path() == "/stream") {
       exchange->BeginStream(200, {{"X-Own", "yes"}}, "text/plain");
-      // From another thread, like everything that this project streams.
+      // From another thread, as all streams of this project are written.
       std::thread([exchange] {
         for (int i = 0; i < 200; ++i) {
           exchange->WriteStream("piece " + std::to_string(i) + "\n");
@@ -130,7 +131,7 @@
 
   bool started_ = false;
   std::promise<void> arrived_;
-  std::promise<void> gone_;
+  std::promise<void> disconnected_;
   std::shared_ptr<http_exchange> hanging_;
   http_server server_;
   http_client client_;
@@ -145,7 +146,7 @@
   EXPECT_EQ(response.Header("x-own"), "hello");
 }
 
-TEST_F(HttpServerTest, StreamFromAnotherThreadIsWhole) {
+TEST_F(HttpServerTest, StreamFromAnotherThreadIsComplete) {
   for (int round = 0; round < 5; ++round) {
     const http_response response = Send(client_, Ask("/stream"));
     EXPECT_EQ(response.how, delivery::kAnswered) << response.error;
@@ -154,18 +155,18 @@
   }
 }
 
-TEST_F(HttpServerTest, CallerThatGoesAwayIsNoticed) {
+TEST_F(HttpServerTest, DisconnectOfCallerIsDetected) {
   http_request request = Ask("/hang");
   const uint64_t id = client_.Send(std::move(request),
                                    [](const http_response& /*response*/) {});
   arrived_.get_future().wait();
   client_.Cancel(id);
-  EXPECT_EQ(gone_.get_future().wait_for(std::chrono::seconds(10)),
+  EXPECT_EQ(disconnected_.get_future().wait_for(std::chrono::seconds(10)),
             std::future_status::ready);
 }
 
-// A request over the limit is refused, and the next one on the same connection
-// gets its own answer.
+// A request over the limit is rejected, and the next request on the same
+// connection receives its own response.
 TEST_F(HttpServerTest, RequestAfterAnOversizedOneGetsItsOwnAnswer) {
   for (int round = 0; round < 5; ++round) {
     http_request large = Ask("/x");
@@ -175,7 +176,7 @@
   }
 }
 
-TEST(RpcTest, CallsAreRoutedAndFailuresTold) {
+TEST(RpcTest, CallsAreRoutedAndFailuresReported) {
   rpc_dispatcher dispatcher(
       {{"echo",
         [](const std::string& payload) {
@@ -193,7 +194,7 @@
       DecodeRpcAnswer(dispatcher.Handle(EncodeRpcCall("unknown", ""))));
 }
 
-RC_GTEST_PROP(RpcTest, AnyBytesGetAnAnswer, (const std::string& bytes)) {
+RC_GTEST_PROP(RpcTest, AnyBytesAreHandled, (const std::string& bytes)) {
   rpc_dispatcher dispatcher({{"echo", [](const std::string& payload) {
                                 return std::optional<std::string>(payload);
                               }}});
@@ -201,8 +202,8 @@
   DecodeRpcAnswer(bytes);
 }
 
-// However the bytes of a stream are cut into pieces, the same chunks come out.
-RC_GTEST_PROP(CompletionStreamTest, PiecesDoNotMatter, ()) {
+// The parsed chunks are independent of how the bytes of the stream are split.
+RC_GTEST_PROP(CompletionStreamTest, ChunksDoNotDependOnPieces, ()) {
   std::string text;
   for (int i = 0; i < 10; ++i) {
     text +=
@@ -231,14 +232,14 @@
   RC_ASSERT(is_ended);
 }
 
-RC_GTEST_PROP(CompletionStreamTest, AnyBytesAreTaken,
+RC_GTEST_PROP(CompletionStreamTest, AnyBytesAreAccepted,
               (const std::string& bytes)) {
   completion_stream stream;
   stream.Feed("data: " + bytes + "\n");
   stream.Feed(bytes);
 }
 
-TEST(CompletionStreamTest, EndlessEventIsRefused) {
+TEST(CompletionStreamTest, OversizedEventIsRejected) {
   completion_stream stream;
   EXPECT_FALSE(stream.Feed(std::string(2 * 1024 * 1024, 'x')));
 }
