--- a/packages/hickoryd/event_metrics.cc
+++ b/packages/hickoryd/event_metrics.cc
@@ -58,8 +58,8 @@
 
 event_metrics::~event_metrics() = default;
 
-void event_metrics::Note(const core::event_info& info,
-                         std::initializer_list<core::event_field> fields) {
+void event_metrics::Record(const core::event_info& info,
+                           std::initializer_list<core::event_field> fields) {
   const std::string name = "HK" + std::to_string(static_cast<int>(info.id));
   families_->events
       .Add({{"event", name},
--- a/packages/hickoryd/event_metrics.h
+++ b/packages/hickoryd/event_metrics.h
@@ -28,8 +28,8 @@
   event_metrics(const event_metrics&) = delete;
   event_metrics& operator=(const event_metrics&) = delete;
 
-  void Note(const core::event_info& info,
-            std::initializer_list<core::event_field> fields);
+  void Record(const core::event_info& info,
+              std::initializer_list<core::event_field> fields);
 
   // The metrics in the Prometheus text format.
   std::string Text() const;
--- a/packages/hickoryd/node_main.cc
+++ b/packages/hickoryd/node_main.cc
@@ -92,8 +92,8 @@
   bool StartRole();
   void StartMetrics();
   awaitable<void> ServeMetrics(net::exchange& call) const;
-  awaitable<void> HandleSignalsLoop();
-  awaitable<void> WatchSettingsLoop();
+  awaitable<void> RunSignalLoop();
+  awaitable<void> RunSettingsWatchLoop();
   void Reload(const char* cause);
   void ScheduleLogFlush();
 
@@ -133,7 +133,7 @@
   core::SetEventObserver(
       [this](const core::event_info& info,
              std::initializer_list<core::event_field> fields) {
-        metrics_.Note(info, fields);
+        metrics_.Record(info, fields);
       });
   net::listener_options options;
   options.address = settings_.metrics_address;
@@ -175,8 +175,8 @@
             {"peers", settings_.peers_address},
             {"first_start", settings_.is_first_start ? "true" : "false"},
             {"seeds", std::to_string(settings_.seeds.size())}});
-  asio::co_spawn(loop_, HandleSignalsLoop(), asio::detached);
-  asio::co_spawn(loop_, WatchSettingsLoop(), asio::detached);
+  asio::co_spawn(loop_, RunSignalLoop(), asio::detached);
+  asio::co_spawn(loop_, RunSettingsWatchLoop(), asio::detached);
   loop_.run();
   core::log_sink::Standard().Flush();
   const bool has_failed = (controller_ && controller_->HasFailed()) ||
@@ -202,7 +202,7 @@
       asio::detached);
 }
 
-awaitable<void> node::HandleSignalsLoop() {
+awaitable<void> node::RunSignalLoop() {
   asio::signal_set signals(loop_, SIGTERM, SIGINT, SIGHUP);
   ChangeSignalMask(SIG_UNBLOCK);
   for (;;) {
@@ -220,7 +220,7 @@
   }
 }
 
-awaitable<void> node::WatchSettingsLoop() {
+awaitable<void> node::RunSettingsWatchLoop() {
   for (;;) {
     co_await net::Sleep(kSettingsPeriod);
     const int64_t now = ChangedAt(file_);
--- a/tests/unit/hickoryd/event_metrics_test.cc
+++ b/tests/unit/hickoryd/event_metrics_test.cc
@@ -23,9 +23,9 @@
 TEST(EventMetricsTest, CountsEventsAndRecordsDurations) {
   event_metrics metrics;
   const core::event_info& answered = Info(core::event_id::kRequestAnswered);
-  metrics.Note(answered, {{"request", "a"}, {"ms", "30"}});
-  metrics.Note(answered, {{"request", "b"}, {"ms", "200"}});
-  metrics.Note(Info(core::event_id::kLeaderElected), {{"term", "3"}});
+  metrics.Record(answered, {{"request", "a"}, {"ms", "30"}});
+  metrics.Record(answered, {{"request", "b"}, {"ms", "200"}});
+  metrics.Record(Info(core::event_id::kLeaderElected), {{"term", "3"}});
   const std::string text = metrics.Text();
   EXPECT_THAT(text, HasSubstr("hickory_events_total{event=\"HK5005\","
                               "level=\"info\",subsystem=\"routing\"} 2"));
@@ -40,7 +40,7 @@
 // An event with a malformed duration is counted, but its duration is ignored.
 TEST(EventMetricsTest, MalformedDurationIsIgnored) {
   event_metrics metrics;
-  metrics.Note(Info(core::event_id::kRequestAnswered), {{"ms", "soon"}});
+  metrics.Record(Info(core::event_id::kRequestAnswered), {{"ms", "soon"}});
   EXPECT_THAT(metrics.Text(),
               HasSubstr("hickory_events_total{event=\"HK5005\""));
   EXPECT_THAT(metrics.Text(), Not(HasSubstr("duration_seconds_count")));
