--- a/packages/hickoryd/call_quarantine.cc
+++ b/packages/hickoryd/call_quarantine.cc
@@ -85,7 +85,7 @@
 }
 
 void call_quarantine::Start() {
-  context_.traffic.Every(kWatchPeriod, [this] { CheckBroken(); });
+  context_.traffic.Every(kWatchPeriod, [this] { CheckBrokenEndpoints(); });
   context_.traffic.Every(kUpdatePeriod, [this] { SendQueuedUpdates(); });
   context_.traffic.Every(kExpirePeriod, [this] { Expire(); });
   context_.traffic.After(milliseconds(0), [this] { SendQueuedUpdates(); });
@@ -166,7 +166,7 @@
   const core::time_point now = context_.clock.Now();
   const auto view = context_.board.Get();
   if (FindListed(*view, target.id) == nullptr) return false;
-  broken_endpoint& entry = broken_[suspected_request.incarnation];
+  broken_endpoint& entry = broken_endpoints_[suspected_request.incarnation];
   if (entry.probes_left == 0) {
     entry.target = target;
     entry.probes_left = kProbeCount;
@@ -174,7 +174,7 @@
     entry.watched_until = now + kRestartTime;
   }
   AddRunningRequest(entry, suspected_request);
-  CheckBroken();
+  CheckBrokenEndpoints();
   return true;
 }
 
@@ -190,13 +190,13 @@
   running_requests.push_back(std::move(suspected_request));
 }
 
-void call_quarantine::CheckBroken() {
+void call_quarantine::CheckBrokenEndpoints() {
   ExpireUnconfirmedCrashes();
-  if (broken_.empty()) return;
+  if (broken_endpoints_.empty()) return;
   const core::time_point now = context_.clock.Now();
   const auto view = context_.board.Get();
   std::vector<std::string> ended;
-  for (auto& [incarnation, entry] : broken_) {
+  for (auto& [incarnation, entry] : broken_endpoints_) {
     const membership::announcement* const listed =
         FindListed(*view, entry.target.id);
     if (listed != nullptr && listed->boot > entry.target.boot) {
@@ -206,7 +206,7 @@
     }
   }
   for (const std::string& incarnation : ended) OnCrashConfirmed(incarnation);
-  std::erase_if(broken_, [now](const auto& item) {
+  std::erase_if(broken_endpoints_, [now](const auto& item) {
     return now >= item.second.watched_until;
   });
 }
@@ -230,8 +230,8 @@
 
 void call_quarantine::HandleProbeResult(const std::string& incarnation,
                                         const http_response& response) {
-  const auto found = broken_.find(incarnation);
-  if (found == broken_.end()) return;
+  const auto found = broken_endpoints_.find(incarnation);
+  if (found == broken_endpoints_.end()) return;
   const bool is_connected = response.how == transport::delivery::kAnswered;
   if (!is_connected && !response.is_timeout) {
     OnCrashConfirmed(incarnation);
@@ -243,11 +243,11 @@
 }
 
 void call_quarantine::OnCrashConfirmed(const std::string& incarnation) {
-  const auto found = broken_.find(incarnation);
-  if (found == broken_.end()) return;
+  const auto found = broken_endpoints_.find(incarnation);
+  if (found == broken_endpoints_.end()) return;
   quarantine_news news;
   news.seen.reports = std::move(found->second.running_requests);
-  broken_.erase(found);
+  broken_endpoints_.erase(found);
   for (const fleet::crash_report& report : news.seen.reports) {
     LogEvent(event_id::kEndpointEndedUnderRequest,
              {{"digest", report.digest},
--- a/packages/hickoryd/call_quarantine.h
+++ b/packages/hickoryd/call_quarantine.h
@@ -59,9 +59,8 @@
   // `kConfirmationTime` has passed.
   void NoteBroken(const quarantine::request_identity& input,
                   const membership::announcement& target);
-  // The request timed out or was cancelled, so no response from `target` is
-  // expected. A crash that is detected soon afterwards is attributed to the
-  // request.
+  // The request timed out, so no response from `target` is expected any more. A
+  // crash that is detected soon afterwards is attributed to the request.
   void NoteSilent(const quarantine::request_identity& input,
                   const membership::announcement& target);
   // An endpoint answered the request and did not crash.
@@ -86,8 +85,9 @@
     bool is_calling = false;
   };
 
-  // Starts probing `target`. False when the endpoint is not in the routing
-  // view: it announced its departure, and may terminate at any time.
+  // Starts probing `target`. False when the endpoint is no longer in the
+  // routing view, for example after it announced its departure; it may then
+  // terminate at any time.
   bool Watch(const fleet::crash_report& suspected_request,
              const membership::announcement& target);
   void AddUnconfirmed(const fleet::crash_report& report);
@@ -96,7 +96,7 @@
   std::set<std::string> CrashesOf(const std::string& digest) const;
   static void AddRunningRequest(broken_endpoint& entry,
                                 fleet::crash_report suspected_request);
-  void CheckBroken();
+  void CheckBrokenEndpoints();
   void SendProbe(const std::string& incarnation, broken_endpoint& entry);
   void HandleProbeResult(const std::string& incarnation,
                          const transport::http_response& response);
@@ -113,7 +113,7 @@
   instance_context& context_;
   const std::string key_;  // of the request digests
   quarantine::crash_ledger ledger_;
-  std::map<std::string, broken_endpoint> broken_;  // by incarnation
+  std::map<std::string, broken_endpoint> broken_endpoints_;  // by incarnation
   // Unconfirmed crashes: by request digest, the incarnations whose connections
   // broke and the time until which each counts.
   std::map<std::string, std::map<std::string, core::time_point>> unconfirmed_;
--- a/packages/hickoryd/explain_log.cc
+++ b/packages/hickoryd/explain_log.cc
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr size_t kMostRequests = 4096;
-constexpr size_t kMostLines = 32;
+constexpr size_t kMaxLines = 32;
 
 }  // namespace
 
@@ -17,7 +17,7 @@
   const std::lock_guard<std::mutex> lock(mutex_);
   const auto [found, is_new] = lines_.try_emplace(request_id);
   if (is_new) order_.push_back(request_id);
-  if (found->second.size() < kMostLines) {
+  if (found->second.size() < kMaxLines) {
     found->second.push_back(
         {core::ToUnixMillis(clock_.WallNow()), instance_, std::move(text)});
   }
--- a/packages/hickoryd/membership_service.cc
+++ b/packages/hickoryd/membership_service.cc
@@ -196,11 +196,11 @@
                     [](const std::optional<control::view_reply>& /*reply*/) {});
 }
 
-// A single instance without a lease is isolated and must not serve, because the
-// other instances may have a newer revision. When a majority of the site has no
-// lease, the whole site is isolated. The leader accepts changes only while a
-// majority of each site holds leases, so the last revision is still in force.
-bool membership_service::IsSiteIsolated(core::time_point now) const {
+// A single instance without a lease must not serve, because the other instances
+// may have a newer revision. When a majority of the site has no lease, the
+// whole site is unreachable. The leader accepts changes only while a majority
+// of each site holds leases, so the last revision is still in force.
+bool membership_service::IsSiteUnreachable(core::time_point now) const {
   size_t instances = 1;
   size_t without_lease = 1;
   for (const settings::peer_settings& peer : context_.settings.peers) {
@@ -232,7 +232,7 @@
   view->revision = view_.revision;
   view->config = config_;
   view->lease_until = lease_until_;
-  view->is_site_dark = !has_lease && !is_released_ && IsSiteIsolated(now);
+  view->is_site_dark = !has_lease && !is_released_ && IsSiteUnreachable(now);
   view->weights = view_.weights;
   for (const auto& [id, record] : exchange_.table.records) {
     if (!membership::IsServing(record, now)) continue;
--- a/packages/hickoryd/membership_service.h
+++ b/packages/hickoryd/membership_service.h
@@ -47,7 +47,7 @@
   void RenewLease();
   void ApplyView(core::time_point sent_at,
                  const std::optional<control::view_reply>& reply);
-  bool IsSiteIsolated(core::time_point now) const;
+  bool IsSiteUnreachable(core::time_point now) const;
   void Publish();
 
   instance_context& context_;
--- a/packages/hickoryd/peer_api.cc
+++ b/packages/hickoryd/peer_api.cc
@@ -145,13 +145,13 @@
   };
   routes_[leader_client::kStepPath] = [this,
                                        &control](const exchange_ptr& exchange) {
-    const auto question = DecodeBody<step_request>(exchange);
-    if (!question) return;
-    RunOn(control, exchange, [this, question, exchange] {
+    const auto request = DecodeBody<step_request>(exchange);
+    if (!request) return;
+    RunOn(control, exchange, [this, request, exchange] {
       control::replica& replica = parts_.host->Replica();
       step_answer answer;
       const std::optional<control::step_record> record =
-          replica.ReadStep(question->pool, question->step);
+          replica.ReadStep(request->pool, request->step);
       answer.is_leader = replica.IsServing();
       answer.leader = replica.LeaderNode();
       answer.is_found = record.has_value();
@@ -174,11 +174,11 @@
   };
   routes_[body_holder::kFetchPath] = [this,
                                       &traffic](const exchange_ptr& exchange) {
-    const auto question = DecodeBody<held_question>(exchange);
-    if (!question) return;
-    RunOn(traffic, exchange, [this, question, exchange] {
+    const auto request = DecodeBody<held_question>(exchange);
+    if (!request) return;
+    RunOn(traffic, exchange, [this, request, exchange] {
       ReplyJson(exchange, 200,
-                core::Encode(parts_.bodies.Get(question->step_key)));
+                core::Encode(parts_.bodies.Get(request->step_key)));
     });
   };
   routes_[call_quarantine::kNewsPath] =
--- a/packages/hickoryd/routing_view.h
+++ b/packages/hickoryd/routing_view.h
@@ -50,7 +50,7 @@
 const settings::pool_config* FindPool(const routing_view& view,
                                       const std::string& pool);
 
-// Whether the last contact with the instance is recent enough.
+// Whether another instance counts as alive: its last contact is recent.
 bool IsAlive(const instance_view& instance, core::time_point now);
 
 // Stores the latest view. Safe from any thread.
--- a/packages/hickoryd/step_delivery.cc
+++ b/packages/hickoryd/step_delivery.cc
@@ -25,7 +25,7 @@
 }  // namespace
 
 void step_service::ServePulls(const step_ptr& step) {
-  if (step->is_committing || step->is_dropped) return;
+  if (step->is_committing || step->is_stopped) return;
   std::vector<waiting_pull> pulls = std::move(step->pulls);
   step->pulls.clear();
   for (const waiting_pull& pull : pulls) {
@@ -230,7 +230,7 @@
     const step_ptr& step, const waiting_pull& pull,
     const std::shared_ptr<const proposed_batch>& batch,
     const proposal_answer& answer) {
-  if (step->is_dropped) {
+  if (step->is_stopped) {
     pull.done(FailureReply(503, "unknown",
                            "the instance stops coordinating the step",
                            kPullRetryAfter));
@@ -254,7 +254,7 @@
     pull.done(FailureReply(503, "not_run",
                            "another instance coordinates the step",
                            kPullRetryAfter));
-    Drop(step, answer.result.reason);
+    StopStep(step, answer.result.reason);
     return;
   }
   step->batches.push_back(answer.result.batch);
@@ -349,7 +349,7 @@
   if (!step->backup.empty()) {
     bodies_.CopyTo(step->backup, drop, [](bool /*is_held*/) {});
   }
-  Drop(step, "closed");
+  StopStep(step, "closed");
 }
 
 }  // namespace hickorywood::hickoryd
--- a/packages/hickoryd/step_service.cc
+++ b/packages/hickoryd/step_service.cc
@@ -44,7 +44,7 @@
   is_released_ = true;
   std::vector<step_ptr> all;
   for (const auto& item : steps_) all.push_back(item.second);
-  for (const step_ptr& step : all) Drop(step, "the instance is stopping");
+  for (const step_ptr& step : all) StopStep(step, "the instance is stopping");
 }
 
 void step_service::RunSteps() {
@@ -122,7 +122,7 @@
                                       const rollout::launch& launch,
                                       const generation_result& result) {
   step->generations.erase(launch.attempt);
-  if (step->is_dropped) return;
+  if (step->is_stopped) return;
   const core::time_point now = context_.clock.Now();
   if (!result.is_complete || !rollout::IsLabelComplete(result.generated)) {
     rollout::NoteFailed(
@@ -189,7 +189,7 @@
   step->to_replicate.clear();
   bodies_.CopyTo(step->backup, copy, [this, step, slots](bool is_held) {
     step->is_copying = false;
-    if (step->is_dropped) return;
+    if (step->is_stopped) return;
     if (is_held) {
       for (const int64_t slot : slots) rollout::NoteReplicated(step->run, slot);
       ServePulls(step);
@@ -234,9 +234,9 @@
   FindCoordinator(request, done, now + kFindLimit);
 }
 
-void step_service::Drop(const step_ptr& step, const std::string& reason) {
-  if (step->is_dropped) return;
-  step->is_dropped = true;
+void step_service::StopStep(const step_ptr& step, const std::string& reason) {
+  if (step->is_stopped) return;
+  step->is_stopped = true;
   steps_.erase(step->key);
   for (const auto& [attempt, generation] : step->generations) {
     generations_.Cancel(generation);
--- a/packages/hickoryd/step_service.h
+++ b/packages/hickoryd/step_service.h
@@ -131,7 +131,7 @@
   void AnswerPull(const step_ptr& step, const waiting_pull& pull,
                   const step_reply& reply);
   void Close(const step_ptr& step, int end_status);
-  void Drop(const step_ptr& step, const std::string& reason);
+  void StopStep(const step_ptr& step, const std::string& reason);
   int64_t CurrentVersion(const std::string& pool,
                          int64_t trainer_version) const;
 
--- a/packages/hickoryd/step_service_state.h
+++ b/packages/hickoryd/step_service_state.h
@@ -49,7 +49,7 @@
   std::vector<int64_t> to_replicate;
   bool is_copying = false;
   bool is_committing = false;
-  bool is_dropped = false;
+  bool is_stopped = false;
   std::vector<waiting_pull> pulls;
   core::time_point last_answer_at{};
 };
