--- a/packages/hickoryd/call_quarantine.h
+++ b/packages/hickoryd/call_quarantine.h
@@ -22,8 +22,8 @@
 
 // The update that one instance sends to another.
 struct quarantine_news {
-  fleet::crash_news seen;  // crashes and releases that the sender observed
-                           // since its last update
+  // Crashes and releases that the sender observed since its last update.
+  fleet::crash_news seen;
   // Connections that broke while a request ran. Whether the endpoint crashed is
   // confirmed later, and the request may be retried before that.
   std::vector<fleet::crash_report> doubts;
--- a/packages/hickoryd/generation_attempt.cc
+++ b/packages/hickoryd/generation_attempt.cc
@@ -180,8 +180,8 @@
       item.failures < kMaxAttempts && routing::TakeRetry(state.budget);
   if (!may_retry) {
     Fail(item,
-         "failed after " + std::to_string(item.failures) +
-             " attempts; last failure: " + reason,
+         "stopped after " + std::to_string(item.failures) +
+             " failed attempts; last failure: " + reason,
          kNoEngineRetryAfter);
     return;
   }
--- a/packages/hickoryd/generation_state.h
+++ b/packages/hickoryd/generation_state.h
@@ -32,8 +32,8 @@
   uint64_t attempt = 0;
   uint64_t transfer = 0;  // id in the HTTP client; 0: none
   std::string engine;
-  membership::announcement
-      announced;           // the announcement of the engine when it was chosen
+  // The announcement of the engine when it was chosen.
+  membership::announcement announced;
   std::string attempt_id;  // request id sent to the engine
   int status = 0;
   bool has_end_mark = false;
--- a/packages/hickoryd/step_service.h
+++ b/packages/hickoryd/step_service.h
@@ -26,8 +26,8 @@
 struct pull_request {
   std::string pool;
   std::string step;
-  uint64_t cursor =
-      1;  // of the requested batch; requesting n acknowledges n - 1
+  // Of the requested batch; requesting n acknowledges n - 1.
+  uint64_t cursor = 1;
   int64_t trainer_version = 0;  // current weight version of the trainer
   int64_t max_samples = 64;
   int64_t wait_ms = 1000;  // an empty batch is returned after this time
@@ -142,8 +142,9 @@
   rollout::burn_recorder& burn_;
   const bool hedging_enabled_;
   std::map<std::string, step_ptr> steps_;  // by "pool/step"
+  // Pulls that wait for a take-over, by "pool/step".
   std::map<std::string, std::vector<std::pair<pull_request, completion>>>
-      taking_over_;  // waiting pulls, by "pool/step"
+      taking_over_;
   bool is_released_ = false;
 };
 
--- a/packages/hickoryd/supervisor.h
+++ b/packages/hickoryd/supervisor.h
@@ -18,8 +18,8 @@
 
 struct child_spec {
   std::string name;
-  std::function<bool()>
-      start;  // false, with the last reason set, if it fails to start
+  // False, with the last reason set, if the child fails to start.
+  std::function<bool()> start;
   std::function<void()> stop;
   std::function<bool()> is_healthy;  // empty: always
   int restart_limit = 3;             // within restart_window
