--- a/packages/core/binary.h
+++ b/packages/core/binary.h
@@ -1,9 +1,9 @@
 #ifndef HICKORYWOOD_CORE_BINARY_H_
 #define HICKORYWOOD_CORE_BINARY_H_
 
-// Typed messages to and from MessagePack, for links between the system's own
-// processes and for replicated commands. Unlike JSON text it carries any bytes
-// in a string, and costs about a third of the processor time.
+// Encodes typed messages as MessagePack, for links between the system's own
+// processes and for replicated commands. Unlike JSON, MessagePack carries
+// arbitrary bytes in a string, and it needs about a third of the CPU time.
 
 #include <cstdint>
 #include <nlohmann/json.hpp>
@@ -15,8 +15,9 @@
 
 namespace hickorywood::core {
 
-// Decodes `bytes` into T. Empty with reason kInvalid on malformed input or a
-// field of a wrong type. Fields that are missing keep their defaults.
+// Decodes `bytes` into T. Returns an empty optional with reason kInvalid if the
+// input is malformed or a field has the wrong type. Missing fields keep their
+// defaults.
 template <typename T>
 std::optional<T> DecodeBinary(std::string_view bytes) {
   try {
--- a/packages/core/clock.h
+++ b/packages/core/clock.h
@@ -11,13 +11,13 @@
 using wall_time = std::chrono::system_clock::time_point;
 using std::chrono::milliseconds;
 
-// The clock of the runtime. It follows the monotonic clock until a test pauses
-// it; from then on it moves only by Advance(). Safe to call from any thread.
+// The clock of a process. It follows the monotonic clock until a test pauses
+// it; after that it advances only by Advance(). All methods are thread-safe.
 class runtime_clock {
  public:
   time_point Now() const;
   // Wall-clock time, for records that outlive the process (retention, reports).
-  // Never for leases.
+  // Must not be used for leases.
   wall_time WallNow() const;
 
   void Pause();
@@ -30,7 +30,8 @@
   std::atomic<int64_t> paused_wall_ns_{0};
 };
 
-// Whole milliseconds since the epoch, the unit of wall times in stored records.
+// Milliseconds since the Unix epoch, the unit of wall-clock times in stored
+// records.
 int64_t ToUnixMillis(wall_time time);
 
 }  // namespace hickorywood::core
--- a/packages/core/event_loop.cc
+++ b/packages/core/event_loop.cc
@@ -5,7 +5,7 @@
 namespace hickorywood::core {
 namespace {
 
-constexpr milliseconds kLongestWait{50};
+constexpr milliseconds kMaxWait{50};
 
 }  // namespace
 
@@ -71,7 +71,7 @@
     {
       std::unique_lock<std::mutex> lock(mutex_);
       if (queue_.empty() && !stopping_) {
-        milliseconds wait = kLongestWait;
+        milliseconds wait = kMaxWait;
         if (!timers_.empty()) {
           const auto until_timer = std::chrono::ceil<milliseconds>(
               timers_.begin()->first - clock_.Now());
--- a/packages/core/event_loop.h
+++ b/packages/core/event_loop.h
@@ -13,37 +13,39 @@
 
 namespace hickorywood::core {
 
-// One thread that owns state and runs tasks in order. Other threads hand it
-// work with Post() and never touch the state themselves, so the state needs no
-// lock.
+// A single thread that owns some state and runs tasks in order. Other threads
+// submit work with Post() and never access the state directly, so the state
+// needs no lock.
 class event_loop {
  public:
   using task = std::function<void()>;
 
-  // `capacity` bounds the tasks that wait; past it Post() refuses.
+  // `capacity` is the maximum number of queued tasks; Post() rejects further
+  // tasks.
   event_loop(const runtime_clock& clock, size_t capacity);
   ~event_loop();
   event_loop(const event_loop&) = delete;
   event_loop& operator=(const event_loop&) = delete;
 
   void Start();
-  // Runs what is queued, then ends the thread. Later Post() calls are refused.
+  // Runs the queued tasks, then joins the thread. Later calls of Post() are
+  // rejected.
   void Stop();
 
-  // False when the queue is full or the loop is stopping: the task will not
-  // run.
+  // Returns false if the queue is full or the loop is stopping; the task is not
+  // run in this case.
   bool Post(task work);
 
-  // Runs `work` on the loop after `delay`. Call on the loop's thread only.
+  // Runs `work` on the loop after `delay`. Must be called on the loop's thread.
   void After(milliseconds delay, task work);
-  // Runs `work` on the loop every `period`, until the loop stops. Call before
-  // Start().
+  // Runs `work` on the loop every `period` until the loop stops. Must be called
+  // before Start().
   void Every(milliseconds period, task work);
-  // Called on the loop each time that a burst of tasks has run: the place for
-  // batching syncs.
+  // Sets a callback that runs on the loop after each batch of tasks, for
+  // example to sync storage once for the whole batch.
   void OnIdle(task work);
 
-  // Tasks that wait now.
+  // Number of queued tasks.
   size_t Depth() const;
 
  private:
@@ -56,7 +58,8 @@
   std::condition_variable wake_;
   std::deque<task> queue_;
   bool stopping_ = false;
-  std::multimap<time_point, task> timers_;  // loop thread only, once started
+  std::multimap<time_point, task>
+      timers_;  // used only by the loop's thread after Start()
   task on_idle_;
   std::thread thread_;
 };
--- a/packages/core/events.cc
+++ b/packages/core/events.cc
@@ -11,8 +11,8 @@
 namespace hickorywood::core {
 namespace {
 
-// Quotes a value that holds blanks, quotes or control characters, so that a
-// caller's text can't forge a second field or line.
+// Quotes a value that contains spaces, quotes or control characters, so that
+// text from a caller can't forge another field or log line.
 std::string QuoteValue(const std::string& value) {
   const auto is_plain = [](unsigned char c) {
     return c > ' ' && c != '"' && c != '=' && c < 0x7f;
--- a/packages/core/events.h
+++ b/packages/core/events.h
@@ -1,8 +1,9 @@
 #ifndef HICKORYWOOD_CORE_EVENTS_H_
 #define HICKORYWOOD_CORE_EVENTS_H_
 
-// Numbered log events. The number, not the text, is what alerts match on:
-// docs/events.md is the catalogue, and a test keeps the two equal.
+// Numbered log events. Alerts match on the number, not on the text.
+// docs/events.md lists all events; a unit test checks that the list and this
+// enum agree.
 
 #include <functional>
 #include <initializer_list>
@@ -98,22 +99,22 @@
   const char* text;
 };
 
-// Every event, in the order of its number.
+// All events, ordered by number.
 const std::vector<event_info>& EventCatalogue();
 
 using event_field = std::pair<const char*, std::string>;
 
-// Where events go.
+// Output format of events.
 enum class log_format {
-  kText,  // "HK1001 subsystem: text key=value ..." by glog, at the event's
-          // level
-  kJson,  // one JSON object a line on standard output, see log_sink.h
+  kText,  // "HK1001 subsystem: text key=value ...", written by glog with the
+          // event's level
+  kJson,  // one JSON object per line on standard output, see log_sink.h
 };
 
 // Set once, before the first event.
 void SetLogFormat(log_format format);
 
-// Sees each event with its fields, whatever becomes of its line.
+// Called for each event with its fields, even if the log line is dropped later.
 using event_observer =
     std::function<void(const event_info&, std::initializer_list<event_field>)>;
 
--- a/packages/core/finding.h
+++ b/packages/core/finding.h
@@ -6,16 +6,16 @@
 
 namespace hickorywood::core {
 
-// One thing wrong with an input, with its place. Checks collect findings and
-// report all of them together, so that an operator mends a file in one go.
+// A problem in an input, with its location. Checks collect all findings and
+// report them together, so that an operator can fix a file in one pass.
 struct finding {
   std::string file;
-  int line = 0;    // from 1; 0 where the place is the whole file
+  int line = 0;    // from 1; 0 if the finding applies to the entire file
   int column = 0;  // from 1
   std::string text;
 };
 
-// "file:line:col: text", one finding a line.
+// Returns "file:line:col: text" for each finding, one per line.
 std::string FormatFindings(const std::vector<finding>& findings);
 
 }  // namespace hickorywood::core
--- a/packages/core/json.h
+++ b/packages/core/json.h
@@ -1,9 +1,9 @@
 #ifndef HICKORYWOOD_CORE_JSON_H_
 #define HICKORYWOOD_CORE_JSON_H_
 
-// Typed messages to and from JSON text. Structs declare their fields with
-// NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT; only this header meets the
-// library's exceptions.
+// Encodes typed messages as JSON text. Structs declare their fields with
+// NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT. Exceptions of the JSON
+// library are caught in this header.
 
 #include <nlohmann/json.hpp>
 #include <optional>
@@ -13,9 +13,9 @@
 
 namespace hickorywood::core {
 
-// Decodes `text` into T. Empty with reason kInvalid on malformed text or a
-// field of a wrong type. Fields that are missing keep their defaults, so that
-// processes of neighbouring releases can talk.
+// Decodes `text` into T. Returns an empty optional with reason kInvalid if the
+// text is malformed or a field has the wrong type. Missing fields keep their
+// defaults, so that processes of adjacent releases are compatible.
 template <typename T>
 std::optional<T> Decode(const std::string& text) {
   try {
@@ -29,7 +29,7 @@
   }
 }
 
-// Encodes `value`. Bytes that are not UTF-8 are replaced, so that encoding
+// Encodes `value`. Bytes that are not valid UTF-8 are replaced, so encoding
 // can't fail.
 template <typename T>
 std::string Encode(const T& value) {
--- a/packages/core/log_sink.cc
+++ b/packages/core/log_sink.cc
@@ -11,11 +11,11 @@
 namespace hickorywood::core {
 namespace {
 
-// About four seconds of a busy process's lines.
+// Holds the log lines of about four seconds under high load.
 constexpr size_t kStandardCapacity = 512 * 1024;
 
-// Whether a write of up to PIPE_BUF bytes would not wait: that is what poll
-// promises of a pipe that is writable.
+// Whether a write of up to PIPE_BUF bytes would not block: poll() guarantees
+// this for a writable pipe.
 bool IsWritable(int fd) {
   pollfd item{fd, POLLOUT, 0};
   return poll(&item, 1, 0) == 1 && (item.revents & POLLOUT) != 0;
@@ -51,7 +51,8 @@
   wake_ = std::move(wake);
 }
 
-// Drops the oldest lines that matter less. The first line may be half written.
+// Drops the oldest lines that are not important. The first line is skipped if
+// it is already partially written.
 void log_sink::MakeRoom(size_t bytes) {
   size_t index = written_of_first_ > 0 ? 1 : 0;
   while (bytes_ + bytes > capacity_ && index < lines_.size()) {
@@ -68,7 +69,8 @@
 void log_sink::Flush() {
   const std::lock_guard<std::mutex> lock(mutex_);
   while (!lines_.empty() && IsWritable(fd_)) {
-    // Several lines to a write, and no more than is written without waiting.
+    // Combines several lines into one write of at most PIPE_BUF bytes, which
+    // does not block.
     std::string chunk = lines_.front().text.substr(written_of_first_);
     for (size_t i = 1; i < lines_.size(); ++i) {
       if (chunk.size() + lines_[i].text.size() > PIPE_BUF) break;
--- a/packages/core/log_sink.h
+++ b/packages/core/log_sink.h
@@ -1,10 +1,11 @@
 #ifndef HICKORYWOOD_CORE_LOG_SINK_H_
 #define HICKORYWOOD_CORE_LOG_SINK_H_
 
-// Log lines on their way to standard output. Adding a line never blocks and
-// never writes: lines wait in a bounded buffer until Flush(), which writes only
-// what the other end takes at once. Past the bound lines are dropped and
-// counted; warnings and errors are kept before the rest.
+// Buffers log lines for standard output. Adding a line never blocks and never
+// writes: lines are queued in a bounded buffer until Flush(), which writes only
+// as much as the reader accepts without blocking. When the buffer is full,
+// lines are dropped and counted; info lines are dropped before warnings and
+// errors.
 
 #include <cstddef>
 #include <cstdint>
@@ -17,23 +18,23 @@
 
 class log_sink {
  public:
-  // Writes to the descriptor `fd`, holding `capacity` bytes at most.
+  // Writes to the file descriptor `fd` and buffers at most `capacity` bytes.
   log_sink(int fd, size_t capacity);
 
-  // The sink on standard output.
+  // The sink for standard output.
   static log_sink& Standard();
 
-  // Queues a line without its line end. Safe from any thread.
+  // Queues a line, passed without its line terminator. Thread-safe.
   void Add(std::string line, bool is_important);
 
-  // Writes what can be written without waiting. Safe from any thread.
+  // Writes as much as possible without blocking. Thread-safe.
   void Flush();
 
-  // Called, on the thread that adds, when the first line comes into an empty
-  // buffer: the time to arrange for a Flush().
+  // Sets a callback that runs when a line is added to an empty buffer, on the
+  // thread that adds it. The callback should schedule a Flush().
   void OnFirstLine(std::function<void()> wake);
 
-  // Lines dropped since the last call.
+  // Number of lines dropped since the last call.
   uint64_t TakeDropped();
 
  private:
--- a/packages/core/reason.h
+++ b/packages/core/reason.h
@@ -1,9 +1,9 @@
 #ifndef HICKORYWOOD_CORE_REASON_H_
 #define HICKORYWOOD_CORE_REASON_H_
 
-// Errors as std::optional with a last reason: a function that can fail returns
-// an empty optional and leaves the reason here, per thread, until the next
-// failure on that thread.
+// Error reporting with std::optional: a function that fails returns an empty
+// optional and stores the reason in a thread-local variable, where it stays
+// until the next failure on the same thread.
 
 #include <optional>
 #include <string>
@@ -12,12 +12,12 @@
 
 enum class reason_code {
   kNone,
-  kInvalid,      // the input can't be accepted
-  kNotFound,     // the thing named does not exist
-  kConflict,     // somebody else's change was first
-  kUnavailable,  // may work later
+  kInvalid,      // the input is not acceptable
+  kNotFound,     // the requested object does not exist
+  kConflict,     // another change was applied first
+  kUnavailable,  // temporary; a retry may succeed
   kTimeout,
-  kCorrupt,  // stored bytes differ from what was written
+  kCorrupt,  // stored bytes differ from the bytes written
   kIo,
   kDenied,
 };
@@ -27,16 +27,16 @@
   std::string text;
 };
 
-// The stable lower-case word for `code`, as it stands in answers and logs.
+// The stable lower-case name of `code`, as used in responses and logs.
 const char* ReasonWord(reason_code code);
 
-// The reason that the last failed call on this thread left.
+// The reason of the last failed call on this thread.
 const reason& LastReason();
 
 void SetLastReason(reason_code code, std::string text);
 
-// Records the reason and converts to an empty optional: `return Fail(code,
-// "text");`.
+// Stores the reason and returns a value that converts to an empty optional:
+// `return Fail(code, "text");`.
 std::nullopt_t Fail(reason_code code, std::string text);
 
 }  // namespace hickorywood::core
