--- a/tests/unit/core/events_test.cc
+++ b/tests/unit/core/events_test.cc
@@ -32,8 +32,8 @@
   EXPECT_EQ(documented, in_code);
 }
 
-// An operator waits for an event that the catalogue promises; it must be logged
-// somewhere.
+// An event that the catalogue lists must be logged by some source file, because
+// operators rely on it.
 TEST(EventsTest, EveryEventIsLoggedSomewhere) {
   std::string sources;
   const std::filesystem::path root = std::string(SOURCE_FOLDER) + "/packages";
@@ -52,7 +52,7 @@
   }
 }
 
-TEST(EventsTest, NumbersAreUniqueAndRise) {
+TEST(EventsTest, NumbersAreUniqueAndAscending) {
   int last = 0;
   for (const event_info& info : EventCatalogue()) {
     EXPECT_GT(static_cast<int>(info.id), last);
--- a/tests/unit/core/log_sink_test.cc
+++ b/tests/unit/core/log_sink_test.cc
@@ -12,28 +12,29 @@
 class LogSinkTest : public ::testing::Test {
  protected:
   LogSinkTest() {
-    EXPECT_EQ(pipe(ends_), 0);
-    fcntl(ends_[0], F_SETFL, O_NONBLOCK);
+    EXPECT_EQ(pipe(pipe_fds_), 0);
+    fcntl(pipe_fds_[0], F_SETFL, O_NONBLOCK);
   }
   ~LogSinkTest() override {
-    close(ends_[0]);
-    close(ends_[1]);
+    close(pipe_fds_[0]);
+    close(pipe_fds_[1]);
   }
 
   std::string ReadAll() const {
     std::string text;
     char buffer[4096];
-    for (ssize_t count; (count = read(ends_[0], buffer, sizeof buffer)) > 0;) {
+    for (ssize_t count;
+         (count = read(pipe_fds_[0], buffer, sizeof buffer)) > 0;) {
       text.append(buffer, static_cast<size_t>(count));
     }
     return text;
   }
 
-  int ends_[2] = {-1, -1};
+  int pipe_fds_[2] = {-1, -1};
 };
 
-TEST_F(LogSinkTest, LinesComeOutWhole) {
-  log_sink sink(ends_[1], 1 << 20);
+TEST_F(LogSinkTest, FlushWritesCompleteLines) {
+  log_sink sink(pipe_fds_[1], 1 << 20);
   sink.Add("one", false);
   sink.Add("two", true);
   EXPECT_EQ(ReadAll(), "");
@@ -41,11 +42,11 @@
   EXPECT_EQ(ReadAll(), "one\ntwo\n");
 }
 
-// Nobody reads standard output. Writing must not block; lines are dropped and
-// counted, and a warning pushes out lines that matter less.
+// Standard output is not read. Writing must not block; lines are dropped and
+// counted, and a warning replaces less important lines.
 TEST_F(LogSinkTest, NobodyReads) {
   constexpr size_t kCapacity = 10000;
-  log_sink sink(ends_[1], kCapacity);
+  log_sink sink(pipe_fds_[1], kCapacity);
   const std::string line(99, 'x');
   constexpr int kLines = 3000;
   for (int i = 0; i < kLines; ++i) {
@@ -66,16 +67,16 @@
   EXPECT_EQ(text.size(), (kLines - dropped) * (line.size() + 1) + 8);
 }
 
-TEST_F(LogSinkTest, FirstLineAsksForAFlush) {
-  log_sink sink(ends_[1], 1000);
-  int asked = 0;
-  sink.OnFirstLine([&asked] { ++asked; });
+TEST_F(LogSinkTest, FirstLineCallsTheCallback) {
+  log_sink sink(pipe_fds_[1], 1000);
+  int calls = 0;
+  sink.OnFirstLine([&calls] { ++calls; });
   sink.Add("a", false);
   sink.Add("b", false);
-  EXPECT_EQ(asked, 1);
+  EXPECT_EQ(calls, 1);
   sink.Flush();
   sink.Add("c", false);
-  EXPECT_EQ(asked, 2);
+  EXPECT_EQ(calls, 2);
 }
 
 }  // namespace
--- a/tests/unit/platform/foreign_writer_test.cc
+++ b/tests/unit/platform/foreign_writer_test.cc
@@ -1,5 +1,5 @@
-// Messages of other writers: fields that are missing or of another type, bytes
-// that can't be read. They name no endpoint, take none out, and break nothing.
+// Messages from unknown senders: missing or mistyped fields and malformed
+// bytes. They must not add an endpoint, remove one, or crash the decoder.
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -39,7 +39,7 @@
         "slots":12,"state":"draining","cold_left_ms":30,"stage":"both",
         "models":[{"name":"m","version":3,"adapters":[]}],"seq":4})";
 
-// Values that no endpoint writes into the field `name` of a heartbeat.
+// Values that no endpoint sends in the field `name` of a heartbeat.
 std::vector<nlohmann::json> ForeignValues(const std::string& name) {
   std::vector<nlohmann::json> values = {
       nlohmann::json::array(), nlohmann::json::object(), true, -1, 1.5, 1e300};
@@ -49,8 +49,8 @@
   return values;
 }
 
-// Another writer sends heartbeats with fields left out or of another type. Each
-// is answered with what is wrong with it, and names no endpoint.
+// Heartbeats with missing or mistyped fields are rejected with a reason and do
+// not add an endpoint.
 TEST_F(ForeignWriterTest, HeartbeatsNameNoEndpoint) {
   const auto expect_refused = [this](const nlohmann::json& beat) {
     const auto bad = Decode<fleet::malformed_call>(
@@ -97,7 +97,7 @@
   }
 }
 
-// A word that an endpoint leaves can't be read: it takes nobody out.
+// A malformed leave message is rejected and removes no endpoint.
 TEST_F(ForeignWriterTest, LeavesTakeNobodyOut) {
   for (const char* body : {"x", "5", "[]", "{\"born\":\"5\"}", "{\"born\":-5}",
                            "{\"born\":1.5}"}) {
@@ -110,7 +110,7 @@
   Decode<fleet::leave_call>(Post("/v1/instances/i-1/leave", "{}"));
 }
 
-// --- Bytes that were damaged or made up, from stored examples.
+// Examples of messages, which the tests below corrupt.
 
 struct example {
   const char* target;
@@ -138,7 +138,7 @@
   return *kExamples;
 }
 
-// A few bytes changed, taken out, or put in.
+// Changes, removes or inserts a few bytes.
 std::string Damaged(std::string body) {
   static const std::string kLikely =
       std::string("{}[]\":,0-9.eE\\u\xff") + "nt" + '\0';
@@ -169,8 +169,9 @@
          beat.started_ms >= 0;
 }
 
-// Whatever comes, there is an answer; what is taken is in bounds that follow
-// from the bytes that came, and a heartbeat that is taken names a place.
+// Corrupted messages never crash the decoder. The number of decoded items is
+// bounded by the size of the message, and an accepted heartbeat has a usable
+// address.
 RC_GTEST_PROP(ForeignWriterPropertyTest, DamagedMessagesAreAnsweredInBounds,
               ()) {
   const auto wire = MakeProtocol();
--- a/tests/unit/platform/protocol_test.cc
+++ b/tests/unit/platform/protocol_test.cc
@@ -1,4 +1,4 @@
-// Every call of the platform from its bytes to the product's types and back.
+// Decodes and encodes every call of the platform.
 
 #include "platform/protocol.h"
 
@@ -62,7 +62,7 @@
   EXPECT_EQ(call.input.models[0].version, 3U);
 }
 
-// The start of an endpoint stands at the top of all that it says of itself.
+// The start time of an endpoint is a top-level field of each of its messages.
 TEST_F(ProtocolTest, StartOfAnEndpoint) {
   nlohmann::json beat = nlohmann::json::parse(kHeartbeat);
   beat["born"] = 1764720000123;
@@ -136,7 +136,8 @@
   EXPECT_EQ(wire_->EncodeConfiguration(text).body, text);
 }
 
-// A configuration that can't be read in full is refused, with each place.
+// A configuration with malformed fields is rejected, and each of these fields
+// is reported.
 TEST_F(ProtocolTest, ConfigurationWithWrongTypes) {
   nlohmann::json body = ConfigurationBody();
   body["version"] = -1;
@@ -152,7 +153,7 @@
   }
 }
 
-// Every truncation of a body is refused; none is taken for something else.
+// Every truncated body is rejected; none is decoded as a different message.
 TEST_F(ProtocolTest, TruncatedBodiesAreRefused) {
   const std::string config = ConfigurationBody().dump();
   for (size_t size = 0; size < config.size(); ++size) {
@@ -232,8 +233,8 @@
   EXPECT_EQ(call.body, "\xDE\xAD\xBE\xEF");
 }
 
-// A reward request that can't be read in full must not be left out: the task
-// would be listed without its score. The whole submission is refused.
+// A malformed reward request must not be ignored, because its task would be
+// listed without a score. The submission is rejected.
 TEST_F(ProtocolTest, BadRewards) {
   const nlohmann::json good = nlohmann::json::parse(
       R"({"id":"r1","host":"h","path":"/r/5","body":"3q2+7w=="})");
@@ -251,7 +252,7 @@
   EXPECT_TRUE(decode(good));
   EXPECT_FALSE(decode(7));
   EXPECT_FALSE(decode(nlohmann::json::array()));
-  // Null is how some writers leave a field out.
+  // Some senders encode an omitted field as null.
   EXPECT_TRUE(decode(nullptr));
   for (const char* name : {"id", "host", "path"}) {
     for (const nlohmann::json& bad : {nlohmann::json(5), nlohmann::json("")}) {
@@ -328,8 +329,8 @@
   EXPECT_FALSE(tree["results"][1].contains("score"));
 }
 
-// A caller's request goes on unchanged but for the headers of the connection
-// and those that the system sets.
+// A caller's request is forwarded unchanged except for the connection headers
+// and the headers that the system sets.
 TEST_F(ProtocolTest, Dispatch) {
   net::request input = Post("/p/1?q=2", "body");
   input.headers = {{"Host", "h"},
@@ -356,7 +357,7 @@
   }
 }
 
-TEST_F(ProtocolTest, MarksOfAnswers) {
+TEST_F(ProtocolTest, MarksOfResponses) {
   net::response answer;
   answer.headers = {{"X-Request-Id", "r"},
                     {"X-Response-Stamp", "s"},
@@ -407,7 +408,7 @@
   EXPECT_FALSE(wire_->DecodeReport(report));
 }
 
-TEST_F(ProtocolTest, FailuresSayWhenToComeBack) {
+TEST_F(ProtocolTest, FailuresContainRetryAfter) {
   const net::response answer =
       wire_->EncodeFailure(503, "full", milliseconds(250));
   EXPECT_EQ(answer.status, 503);
@@ -415,7 +416,7 @@
             0.25);
 }
 
-RC_GTEST_PROP(ProtocolPropertyTest, AnyBodyGetsAnAnswer,
+RC_GTEST_PROP(ProtocolPropertyTest, AnyBodyIsDecodedOrRejected,
               (const std::string& body)) {
   const auto wire = MakeProtocol();
   for (const char* target :
