--- a/packages/hickoryctl/burn_report.cc
+++ b/packages/hickoryctl/burn_report.cc
@@ -1,5 +1,5 @@
-// `hickoryctl report burn`: how fast each site burns the error budget of its
-// objectives, and on what.
+// Implements `hickoryctl report burn`: the rate at which each site consumes the
+// error budget of its objectives, and the main causes.
 
 #include <algorithm>
 #include <cstdio>
@@ -19,13 +19,13 @@
 
 constexpr std::chrono::milliseconds kTimeout{5000};
 
-// One line of the report: an objective of a pool or service at a site.
+// One row of the report: an objective of a pool or service at a site.
 struct burn_row {
   std::string site;
   std::string objective;
   std::string subject;
   double allowed_bad = 0;
-  std::map<int64_t, rollout::burn_sum> windows;  // by minutes
+  std::map<int64_t, rollout::burn_sum> windows;  // by length in minutes
 };
 
 std::vector<burn_row> CollectRows(const json& tree) {
@@ -80,26 +80,27 @@
   return text;
 }
 
-// Share of the budget of the longest window that is left; negative: overdrawn.
-double BudgetLeft(const burn_row& row) {
+// Remaining share of the error budget in the longest window. Negative if the
+// budget is exceeded.
+double RemainingBudget(const burn_row& row) {
   if (row.windows.empty()) return 1;
   return 1 - rollout::BurnRate(row.windows.rbegin()->second, row.allowed_bad);
 }
 
-void PrintTable(const std::vector<burn_row>& rows, const json& silent) {
+void PrintTable(const std::vector<burn_row>& rows, const json& unreachable) {
   std::printf("%-14s %-16s %-14s %8s %9s %8s %8s %8s %9s  %s\n", "site",
               "objective", "subject", "bad", "allowed", "5m", "30m", "60m",
               "left", "main cause");
   for (const burn_row& row : rows) {
-    const rollout::burn_sum& widest = row.windows.rbegin()->second;
+    const rollout::burn_sum& longest = row.windows.rbegin()->second;
     std::printf("%-14s %-16s %-14s %7.2f%% %8.2f%% %8s %8s %8s %8.0f%%  %s\n",
                 row.site.c_str(), row.objective.c_str(), row.subject.c_str(),
-                100 * BadShare(widest), 100 * row.allowed_bad,
+                100 * BadShare(longest), 100 * row.allowed_bad,
                 RateText(row, 5).c_str(), RateText(row, 30).c_str(),
-                RateText(row, 60).c_str(), 100 * BudgetLeft(row),
-                MainCause(widest).c_str());
+                RateText(row, 60).c_str(), 100 * RemainingBudget(row),
+                MainCause(longest).c_str());
   }
-  for (const json& id : silent) {
+  for (const json& id : unreachable) {
     std::printf("not in this report: %s (no answer)\n",
                 id.get<std::string>().c_str());
   }
@@ -128,19 +129,19 @@
   return escaped;
 }
 
-// Bars of the burn rate per window; the line marks rate 1, at which the budget
-// is used exactly up.
+// Draws a bar with the burn rate of each window. The dashed line marks rate 1,
+// at which the budget is used up exactly at the end of the window.
 std::string RatePlot(const burn_row& row) {
   constexpr int kBarHeight = 14;
   constexpr double kUnitWidth = 60;
-  constexpr double kMostRate = 5;
+  constexpr double kMaxRate = 5;
   std::string svg = "<svg width=\"380\" height=\"" +
                     std::to_string(3 * (kBarHeight + 4) + 4) +
                     "\" role=\"img\">";
   int y = 2;
   for (const auto& [minutes, sum] : row.windows) {
     const double rate = rollout::BurnRate(sum, row.allowed_bad);
-    const double width = std::min(rate, kMostRate) * kUnitWidth;
+    const double width = std::min(rate, kMaxRate) * kUnitWidth;
     char bar[320];
     std::snprintf(
         bar, sizeof(bar),
@@ -160,7 +161,8 @@
   return svg + line + "</svg>";
 }
 
-std::string RenderHtml(const std::vector<burn_row>& rows, const json& silent) {
+std::string RenderHtml(const std::vector<burn_row>& rows,
+                       const json& unreachable) {
   std::string page =
       "<!doctype html><html lang=\"en\"><meta "
       "charset=\"utf-8\"><title>hickorywood: service-level burn</title>"
@@ -176,21 +178,21 @@
       "<th>Bad / allowed</th><th>Burn rate by window</th><th>Budget "
       "left</th><th>Main cause</th></tr>";
   for (const burn_row& row : rows) {
-    const rollout::burn_sum& widest = row.windows.rbegin()->second;
+    const rollout::burn_sum& longest = row.windows.rbegin()->second;
     char numbers[96];
     std::snprintf(numbers, sizeof(numbers), "<td>%.2f%% / %.2f%%</td>",
-                  100 * BadShare(widest), 100 * row.allowed_bad);
+                  100 * BadShare(longest), 100 * row.allowed_bad);
     char left[64];
     std::snprintf(left, sizeof(left), "<td%s>%.0f%%</td>",
-                  BudgetLeft(row) < 0 ? " class=\"bad\"" : "",
-                  100 * BudgetLeft(row));
+                  RemainingBudget(row) < 0 ? " class=\"bad\"" : "",
+                  100 * RemainingBudget(row));
     page += "<tr><td>" + EscapeHtml(row.site) + "</td><td>" +
             EscapeHtml(row.objective) + "</td><td>" + EscapeHtml(row.subject) +
             "</td>" + numbers + "<td>" + RatePlot(row) + "</td>" + left +
-            "<td>" + EscapeHtml(MainCause(widest)) + "</td></tr>";
+            "<td>" + EscapeHtml(MainCause(longest)) + "</td></tr>";
   }
   page += "</table>";
-  for (const json& id : silent) {
+  for (const json& id : unreachable) {
     page += "<p class=\"bad\">Not in this report: " +
             EscapeHtml(id.get<std::string>()) + " (no answer)</p>";
   }
@@ -200,8 +202,9 @@
 }  // namespace
 
 int ReportBurn(const server& target, const std::string& html, bool as_json) {
-  const reply answer = Ask(target, "GET", "/v1/report/burn", "", kTimeout);
-  if (!answer.is_answered || answer.status != 200) return FailureOf(answer);
+  const reply answer =
+      SendRequest(target, "GET", "/v1/report/burn", "", kTimeout);
+  if (!answer.is_answered || answer.status != 200) return ReportFailure(answer);
   const json tree = json::parse(answer.body, nullptr, false);
   if (!tree.is_object()) {
     std::fputs("the answer is not JSON\n", stderr);
--- a/packages/hickoryctl/client.cc
+++ b/packages/hickoryctl/client.cc
@@ -7,9 +7,9 @@
 
 namespace hickorywood::hickoryctl {
 
-reply Ask(const server& target, const std::string& method,
-          const std::string& path, const std::string& body,
-          std::chrono::milliseconds timeout) {
+reply SendRequest(const server& target, const std::string& method,
+                  const std::string& path, const std::string& body,
+                  std::chrono::milliseconds timeout) {
   transport::http_client client;
   client.Start();
   transport::http_request request;
--- a/packages/hickoryctl/client.h
+++ b/packages/hickoryctl/client.h
@@ -6,23 +6,23 @@
 
 namespace hickorywood::hickoryctl {
 
-// The instance that the command talks to.
+// The instance that receives the requests.
 struct server {
   std::string address;  // "IP:PORT" of a caller listener
-  std::string token;    // of the operators; empty: none
+  std::string token;    // an operator's token; empty: none
 };
 
 struct reply {
   bool is_answered = false;
   int status = 0;
   std::string body;
-  std::string error;  // when it was not answered
+  std::string error;  // set if there was no response
 };
 
-// One request; waits for the answer.
-reply Ask(const server& target, const std::string& method,
-          const std::string& path, const std::string& body,
-          std::chrono::milliseconds timeout);
+// Sends a request and waits for the response.
+reply SendRequest(const server& target, const std::string& method,
+                  const std::string& path, const std::string& body,
+                  std::chrono::milliseconds timeout);
 
 }  // namespace hickorywood::hickoryctl
 
--- a/packages/hickoryctl/commands.cc
+++ b/packages/hickoryctl/commands.cc
@@ -25,13 +25,14 @@
   return tree.is_object() ? tree : json::object();
 }
 
-bool IsGood(const reply& answer) {
+bool IsSuccess(const reply& answer) {
   return answer.is_answered && answer.status >= 200 && answer.status < 300;
 }
 
-// What one command prints of its answer when it went well.
-int PrintPlain(const reply& answer, const char* text) {
-  if (!IsGood(answer)) return FailureOf(answer);
+// Prints `text` if the request succeeded, otherwise the error. Returns the exit
+// code.
+int PrintSuccess(const reply& answer, const char* text) {
+  if (!IsSuccess(answer)) return ReportFailure(answer);
   std::puts(text);
   return kExitOk;
 }
@@ -91,7 +92,7 @@
 
 int SubmitExitCode(const reply& answer, const json& tree) {
   const std::string status = tree.value("status", "");
-  if (IsGood(answer)) return kExitOk;
+  if (IsSuccess(answer)) return kExitOk;
   if (status == "conflict") return kExitConflict;
   if (status == "refused") return kExitInvalid;
   if (status == "held") return kExitHeld;
@@ -101,7 +102,7 @@
 
 }  // namespace
 
-int FailureOf(const reply& answer) {
+int ReportFailure(const reply& answer) {
   if (!answer.is_answered) {
     std::fprintf(stderr, "no answer: %s\n", answer.error.c_str());
     return kExitUnreachable;
@@ -147,8 +148,9 @@
   }
   int64_t based_on = change.based_on;
   if (based_on < 0) {
-    const reply current = Ask(target, "GET", "/v1/configuration", "", kTimeout);
-    if (!IsGood(current)) return FailureOf(current);
+    const reply current =
+        SendRequest(target, "GET", "/v1/configuration", "", kTimeout);
+    if (!IsSuccess(current)) return ReportFailure(current);
     based_on = ParseBody(current).value("revision", int64_t{0});
   }
   const std::string change_id =
@@ -158,8 +160,8 @@
                      {"file", change.file},
                      {"text", *text},
                      {"based_on", based_on}};
-  const reply answer =
-      Ask(target, "POST", "/v1/configuration", body.dump(), kSubmitTimeout);
+  const reply answer = SendRequest(target, "POST", "/v1/configuration",
+                                   body.dump(), kSubmitTimeout);
   if (!answer.is_answered) {
     std::fprintf(
         stderr,
@@ -184,8 +186,9 @@
 }
 
 int ShowConfiguration(const server& target, bool as_json) {
-  const reply answer = Ask(target, "GET", "/v1/configuration", "", kTimeout);
-  if (!IsGood(answer)) return FailureOf(answer);
+  const reply answer =
+      SendRequest(target, "GET", "/v1/configuration", "", kTimeout);
+  if (!IsSuccess(answer)) return ReportFailure(answer);
   if (as_json) {
     std::puts(answer.body.c_str());
     return kExitOk;
@@ -201,39 +204,40 @@
 }
 
 int ShowQuarantine(const server& target, bool as_json) {
-  const reply answer = Ask(target, "GET", kQuarantinePath, "", kTimeout);
-  if (!IsGood(answer)) return FailureOf(answer);
+  const reply answer =
+      SendRequest(target, "GET", kQuarantinePath, "", kTimeout);
+  if (!IsSuccess(answer)) return ReportFailure(answer);
   if (as_json) {
     std::puts(answer.body.c_str());
     return kExitOk;
   }
   for (const json& item : ParseBody(answer)["warnings"]) {
-    std::printf("%s  customer %s  %s  quarantines %lld  ended under it: %s\n",
-                item.value("digest", "").c_str(),
-                item.value("customer", "").c_str(),
-                item.value("is_quarantined", false) ? "held back" : "suspected",
-                item.value("quarantines", 0LL), Join(item["ends"]).c_str());
+    std::printf(
+        "%s  customer %s  %s  quarantines %lld  crashed endpoints: %s\n",
+        item.value("digest", "").c_str(), item.value("customer", "").c_str(),
+        item.value("is_quarantined", false) ? "quarantined" : "suspected",
+        item.value("quarantines", 0LL), Join(item["ends"]).c_str());
   }
   return kExitOk;
 }
 
 int LiftQuarantine(const server& target, const std::string& digest) {
-  const reply answer =
-      Ask(target, "DELETE", kQuarantinePath + ("/" + digest), "", kTimeout);
-  return PrintPlain(answer, "lifted");
+  const reply answer = SendRequest(
+      target, "DELETE", kQuarantinePath + ("/" + digest), "", kTimeout);
+  return PrintSuccess(answer, "lifted");
 }
 
 int ShowStatus(const server& target, bool as_json) {
-  const reply answer = Ask(target, "GET", "/v1/status", "", kTimeout);
-  if (!IsGood(answer)) return FailureOf(answer);
+  const reply answer = SendRequest(target, "GET", "/v1/status", "", kTimeout);
+  if (!IsSuccess(answer)) return ReportFailure(answer);
   if (as_json) {
     std::puts(answer.body.c_str());
     return kExitOk;
   }
   const json tree = ParseBody(answer);
   for (const json& instance : tree["instances"]) PrintInstance(instance);
-  for (const json& silent : tree["silent"]) {
-    std::printf("%s  no answer\n", silent.get<std::string>().c_str());
+  for (const json& id : tree["silent"]) {
+    std::printf("%s  no answer\n", id.get<std::string>().c_str());
   }
   PrintEndpoints(tree["instances"][0]["endpoints"]);
   return kExitOk;
@@ -241,9 +245,9 @@
 
 int Explain(const server& target, const std::string& request_id, bool as_json) {
   const reply answer =
-      Ask(target, "GET", "/v1/explain/" + request_id, "", kTimeout);
+      SendRequest(target, "GET", "/v1/explain/" + request_id, "", kTimeout);
   if (!answer.is_answered || (answer.status != 200 && answer.status != 404)) {
-    return FailureOf(answer);
+    return ReportFailure(answer);
   }
   if (as_json) {
     std::puts(answer.body.c_str());
@@ -255,34 +259,36 @@
                 line.value("instance", "").c_str(),
                 line.value("text", "").c_str());
   }
-  for (const json& silent : tree["silent"]) {
-    std::printf("%s  no answer\n", silent.get<std::string>().c_str());
+  for (const json& id : tree["silent"]) {
+    std::printf("%s  no answer\n", id.get<std::string>().c_str());
   }
   if (!tree["lines"].empty()) return kExitOk;
-  std::puts("no instance remembers this request");
+  std::puts("no instance has a record of this request");
   return kExitFailed;
 }
 
 int Bootstrap(const server& target) {
-  return PrintPlain(Ask(target, "POST", "/v1/group/bootstrap", "{}", kTimeout),
-                    "bootstrapped");
+  return PrintSuccess(
+      SendRequest(target, "POST", "/v1/group/bootstrap", "{}", kTimeout),
+      "bootstrapped");
 }
 
 int Drain(const server& target) {
-  return PrintPlain(Ask(target, "POST", "/v1/drain", "{}", kTimeout),
-                    "stopping");
+  return PrintSuccess(SendRequest(target, "POST", "/v1/drain", "{}", kTimeout),
+                      "stopping");
 }
 
 int SetSite(const server& target, const std::string& site, bool is_excluded) {
   const std::string path =
       "/v1/sites/" + site + (is_excluded ? "/exclude" : "/include");
-  return PrintPlain(Ask(target, "POST", path, "{}", kTimeout),
-                    is_excluded ? "excluded" : "included");
+  return PrintSuccess(SendRequest(target, "POST", path, "{}", kTimeout),
+                      is_excluded ? "excluded" : "included");
 }
 
 int SaveSnapshot(const server& target, const std::string& file) {
-  const reply answer = Ask(target, "GET", "/v1/snapshot", "", kSubmitTimeout);
-  if (!IsGood(answer)) return FailureOf(answer);
+  const reply answer =
+      SendRequest(target, "GET", "/v1/snapshot", "", kSubmitTimeout);
+  if (!IsSuccess(answer)) return ReportFailure(answer);
   std::ofstream stream(file, std::ios::binary);
   stream << answer.body;
   stream.close();
--- a/packages/hickoryctl/commands.h
+++ b/packages/hickoryctl/commands.h
@@ -1,8 +1,8 @@
 #ifndef HICKORYWOOD_HICKORYCTL_COMMANDS_H_
 #define HICKORYWOOD_HICKORYCTL_COMMANDS_H_
 
-// The commands of hickoryctl. Each prints to standard output and returns the
-// exit code.
+// The commands of hickoryctl. Each command prints to standard output and
+// returns the exit code of the process.
 
 #include <cstdint>
 #include <string>
@@ -15,21 +15,22 @@
 // Documented in docs/operations.md.
 enum exit_code : int {
   kExitOk = 0,
-  kExitFailed = 1,       // the instance refused or could not do it
-  kExitInvalid = 2,      // findings, or wrong use of the command
-  kExitConflict = 3,     // another change was first
-  kExitHeld = 4,         // a site can't be reached; nothing changed
-  kExitUnreachable = 5,  // no answer; what became of the command is not known
+  kExitFailed = 1,       // the instance rejected the command or failed
+  kExitInvalid = 2,      // findings, or a usage error
+  kExitConflict = 3,     // another change was applied first
+  kExitHeld = 4,         // a site is unreachable; nothing was changed
+  kExitUnreachable = 5,  // no response; the outcome of the command is unknown
 };
 
 struct submission {
-  std::string scope;  // "base" or a site
+  std::string scope;  // "base" or the name of a site
   std::string file;
-  std::string change_id;  // empty: made here
-  int64_t based_on = -1;  // revision; -1: the one in force now
+  std::string change_id;  // empty: generated
+  int64_t based_on = -1;  // base revision; -1: the current one
 };
 
-// Checks files without any instance: the base and overlays as SITE=FILE.
+// Checks configuration files without contacting an instance. `overlays` are
+// given as SITE=FILE.
 int Validate(const std::string& base, const std::vector<std::string>& overlays);
 
 int Submit(const server& target, const submission& change, bool as_json);
@@ -41,16 +42,17 @@
 int SetSite(const server& target, const std::string& site, bool is_excluded);
 int SaveSnapshot(const server& target, const std::string& file);
 
-// Of a control instance on a platform. The requests under which endpoints
-// ended; and the word that one of them may be sent again.
+// These two commands need a control instance of a platform deployment.
+// ShowQuarantine lists the requests that crash endpoints; LiftQuarantine allows
+// one of them to be sent again.
 int ShowQuarantine(const server& target, bool as_json);
 int LiftQuarantine(const server& target, const std::string& digest);
 
-// `html`: also writes a page with plots to that file.
+// Unless `html` is empty, also writes a page with plots to this file.
 int ReportBurn(const server& target, const std::string& html, bool as_json);
 
-// Prints the reason of a failed reply and returns its exit code.
-int FailureOf(const reply& answer);
+// Prints the error of a failed request and returns the exit code.
+int ReportFailure(const reply& answer);
 
 }  // namespace hickorywood::hickoryctl
 
--- a/packages/hickoryctl/main.cc
+++ b/packages/hickoryctl/main.cc
@@ -1,4 +1,4 @@
-// hickoryctl: the operators' command.
+// hickoryctl: the command-line tool for operators.
 
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
@@ -17,11 +17,11 @@
 ABSL_FLAG(std::string, token_file, "", "File with the operators' token.");
 ABSL_FLAG(bool, json, false, "Print JSON.");
 ABSL_FLAG(std::string, scope, "", "submit: 'base' or a site.");
-ABSL_FLAG(std::string, change_id, "",
-          "submit: id of the change; the same again when sending it anew.");
 ABSL_FLAG(
-    int64_t, based_on, -1,
-    "submit: revision that the change was made from; -1: the one in force.");
+    std::string, change_id, "",
+    "submit: id of the change; repeat the same id when sending it again.");
+ABSL_FLAG(int64_t, based_on, -1,
+          "submit: revision that the change is based on; -1: the current one.");
 ABSL_FLAG(std::vector<std::string>, overlay, {},
           "validate: overlays as SITE=FILE.");
 ABSL_FLAG(std::string, html, "",
@@ -32,39 +32,38 @@
 namespace ctl = hickorywood::hickoryctl;
 
 constexpr char kUsage[] =
-    "The operators' command of hickorywood.\n\n"
+    "The command-line tool for operators of hickorywood.\n\n"
     "  hickoryctl validate BASE --overlay=SITE=FILE,...   check files, without "
     "an instance\n"
-    "  hickoryctl submit FILE --scope=base|SITE           put a file into "
-    "force\n"
-    "  hickoryctl config                                  show what is in "
-    "force\n"
+    "  hickoryctl submit FILE --scope=base|SITE           apply a file\n"
+    "  hickoryctl config                                  show the current "
+    "configuration\n"
     "  hickoryctl status                                  instances, leader, "
     "leases, endpoints\n"
-    "  hickoryctl explain REQUEST_ID                      why a request went "
-    "where it went\n"
+    "  hickoryctl explain REQUEST_ID                      show how a request "
+    "was routed\n"
     "  hickoryctl report burn [--html=FILE]               service-level burn\n"
-    "  hickoryctl bootstrap                               found the control "
-    "group, once\n"
+    "  hickoryctl bootstrap                               bootstrap the "
+    "control group, once\n"
     "  hickoryctl drain                                   planned stop of the "
     "instance\n"
-    "  hickoryctl exclude|include SITE                    let changes pass "
+    "  hickoryctl exclude|include SITE                    accept changes "
     "without a site\n"
     "  hickoryctl snapshot FILE                           save the control "
     "state\n"
-    "  hickoryctl quarantine                              requests that end "
+    "  hickoryctl quarantine                              requests that crash "
     "endpoints (at a control instance)\n"
-    "  hickoryctl lift DIGEST                             let one of them be "
-    "sent again\n\n"
-    "Exit codes: 0 done, 1 failed, 2 findings or wrong use, 3 conflict, 4 "
-    "held, 5 no answer.";
+    "  hickoryctl lift DIGEST                             allow one of them to "
+    "be sent again\n\n"
+    "Exit codes: 0 done, 1 failed, 2 findings or usage error, 3 conflict, 4 "
+    "held, 5 no response.";
 
-int WrongUse() {
+int ReportUsageError() {
   std::fprintf(stderr, "%s\n", kUsage);
   return ctl::kExitInvalid;
 }
 
-int Run(const std::vector<std::string>& words) {
+int Run(const std::vector<std::string>& arguments) {
   ctl::server target{absl::GetFlag(FLAGS_server), ""};
   const std::string token_file = absl::GetFlag(FLAGS_token_file);
   if (!token_file.empty()) {
@@ -77,17 +76,17 @@
     target.token = token->substr(0, token->find_last_not_of(" \t\r\n") + 1);
   }
   const bool as_json = absl::GetFlag(FLAGS_json);
-  const std::string command = words.empty() ? "" : words[0];
-  const std::string argument = words.size() > 1 ? words[1] : "";
-  if (words.size() == 1) {
+  const std::string command = arguments.empty() ? "" : arguments[0];
+  const std::string argument = arguments.size() > 1 ? arguments[1] : "";
+  if (arguments.size() == 1) {
     if (command == "config") return ctl::ShowConfiguration(target, as_json);
     if (command == "status") return ctl::ShowStatus(target, as_json);
     if (command == "bootstrap") return ctl::Bootstrap(target);
     if (command == "drain") return ctl::Drain(target);
     if (command == "quarantine") return ctl::ShowQuarantine(target, as_json);
-    return WrongUse();
+    return ReportUsageError();
   }
-  if (words.size() != 2) return WrongUse();
+  if (arguments.size() != 2) return ReportUsageError();
   if (command == "validate") {
     return ctl::Validate(argument, absl::GetFlag(FLAGS_overlay));
   }
@@ -106,7 +105,7 @@
   if (command == "exclude") return ctl::SetSite(target, argument, true);
   if (command == "include") return ctl::SetSite(target, argument, false);
   if (command == "snapshot") return ctl::SaveSnapshot(target, argument);
-  return WrongUse();
+  return ReportUsageError();
 }
 
 }  // namespace
