--- a/tests/integration/configuration_test.cc
+++ b/tests/integration/configuration_test.cc
@@ -113,7 +113,7 @@
   cluster fleet(ThreeNodes());
   ASSERT_TRUE(fleet.Start(SmallConfiguration()));
   const std::string old_leader = fleet.Leader();
-  fleet.Isolate(old_leader, link_fault::kSilent);
+  fleet.Isolate(old_leader, link_fault::kBlackhole);
   ASSERT_TRUE(fleet.WaitForLeader(old_leader));
   const std::string new_leader = fleet.Leader(old_leader);
   auto at_old = std::async(std::launch::async, [&] {
--- a/tests/integration/crashing_request_test.cc
+++ b/tests/integration/crashing_request_test.cc
@@ -203,8 +203,8 @@
     const std::string entry = round % 2 == 0 ? "e1" : "e2";
     const int crashes = fleet.Endpoints().Crashes();
     ASSERT_TRUE(WaitUntil([&] {
-      const auto answer = fleet.Impatient(entry, path, "crash-" + id,
-                                          deployment::kCrashBody, patience);
+      const auto answer = fleet.SendWithTimeout(
+          entry, path, "crash-" + id, deployment::kCrashBody, patience);
       return answer.status == 429 || fleet.Endpoints().Crashes() > crashes;
     }));
     ASSERT_TRUE(
--- a/tests/integration/deployment_test.cc
+++ b/tests/integration/deployment_test.cc
@@ -110,8 +110,9 @@
     fleet.LoseDisk(store);
     fleet.StartNode(store);
     ExpectWhole(fleet.WaitForResults("e2", step, 4), step, 4);
-    ASSERT_TRUE(WaitUntil([&] { return fleet.IdentitiesOf(store) == 2; }))
-        << store;
+    ASSERT_TRUE(WaitUntil([&] {
+      return fleet.CountVoterIdentities(store) == 2;
+    })) << store;
   }
   for (int i = 0; i < round; ++i) {
     const std::string step = "step-" + std::to_string(i);
@@ -140,8 +141,9 @@
     ExpectWhole(fleet.WaitForResults("e2", ended, 4), ended, 4);
     ExpectWhole(fleet.WaitForResults("e1", running, 4), running, 4);
     EXPECT_TRUE(WaitUntil([&] { return fleet.VersionAt("c3") == version; }));
-    ASSERT_TRUE(WaitUntil([&] { return fleet.IdentitiesOf(wiped) == 2; }))
-        << wiped;
+    ASSERT_TRUE(WaitUntil([&] {
+      return fleet.CountVoterIdentities(wiped) == 2;
+    })) << wiped;
   }
 }
 
@@ -164,7 +166,7 @@
   fleet.KillNode("c1");
   fleet.LoseDisk("c1");
   fleet.StartNode("c1");
-  EXPECT_TRUE(WaitUntil([&] { return fleet.IdentitiesOf("c1") == 2; }));
+  EXPECT_TRUE(WaitUntil([&] { return fleet.CountVoterIdentities("c1") == 2; }));
   EXPECT_TRUE(fleet.PutConfiguration(2, true));
   fleet.CutPower("s1");
   ExpectWhole(fleet.WaitForResults("e2", "ended", 4), "ended", 4);
--- a/tests/integration/endpoints_test.cc
+++ b/tests/integration/endpoints_test.cc
@@ -75,7 +75,7 @@
   ASSERT_TRUE(fleet.Start(SmallConfiguration()));
   fleet.StartEndpoint({"b1", "service", "bookings"});
   ASSERT_TRUE(fleet.WaitForEndpoints(1));
-  fleet.Isolate("n3", link_fault::kSilent);
+  fleet.Isolate("n3", link_fault::kBlackhole);
   fleet.Endpoint("b1").Kill();
   EXPECT_TRUE(WaitUntil([&] {
     return !Routes(fleet, "n3", "b1") && !Routes(fleet, "n1", "b1");
--- a/tests/integration/requests_test.cc
+++ b/tests/integration/requests_test.cc
@@ -336,7 +336,7 @@
   }
   for (const char* id : {"b1", "b2"}) {
     fleet_.Proxy().SetFault(fleet_.EndpointLink(id),
-                            link_fault::kSilentExisting);
+                            link_fault::kBlackholeExisting);
   }
   const http_response answer =
       fleet_.Web().Get(fleet_.Callers("n1"), "/v1/services/bookings/x");
@@ -349,7 +349,7 @@
 TEST_F(RequestsTest, SilentConnectionsBetweenInstances) {
   StartWith({});
   for (const char* id : {"n1", "n2", "n3"}) {
-    fleet_.Isolate(id, link_fault::kSilentExisting);
+    fleet_.Isolate(id, link_fault::kBlackholeExisting);
   }
   json answer;
   EXPECT_TRUE(WaitUntil([&] {
--- a/tests/integration/samples_test.cc
+++ b/tests/integration/samples_test.cc
@@ -91,7 +91,7 @@
   const pull_outcome outcome = PullAll(fleet_, "swap", {{"n1", "n2", "n3"}});
   ASSERT_TRUE(outcome.is_done);
   ExpectEachSlotOnce(outcome, 64);
-  ExpectWholeLabels(outcome);
+  ExpectCompleteLabels(outcome);
   size_t mixed = 0;
   for (const json& sample : outcome.samples) {
     mixed += sample["generated"]["ranges"].size() > 1 ? 1 : 0;
@@ -132,7 +132,7 @@
   Open("n1", StepSpec("unlabelled", 8, 2));
   pull_outcome outcome = PullAll(fleet_, "unlabelled", {{"n2"}});
   ASSERT_TRUE(outcome.is_done);
-  ExpectWholeLabels(outcome);
+  ExpectCompleteLabels(outcome);
   for (const json& sample : outcome.samples) EXPECT_EQ(sample["engine"], "e2");
   Behave("e1", {{"echoes_wrong_id", true}});
   Open("n1", StepSpec("foreign", 8, 2));
@@ -150,7 +150,7 @@
   pull_outcome outcome = PullAll(fleet_, "cut", {{"n1"}});
   ASSERT_TRUE(outcome.is_done);
   ExpectEachSlotOnce(outcome, 24);
-  ExpectWholeLabels(outcome);
+  ExpectCompleteLabels(outcome);
   Behave("e2", {{"goes_silent", true}});
   Open("n2", StepSpec("silent", 12, 2));
   outcome = PullAll(fleet_, "silent", {{"n1"}});
@@ -370,7 +370,7 @@
   const pull_outcome outcome = PullAll(fleet_, "hedge", {{"n1", "n2"}});
   EXPECT_TRUE(outcome.is_done);
   ExpectEachSlotOnce(outcome, 96);
-  ExpectWholeLabels(outcome);
+  ExpectCompleteLabels(outcome);
 }
 
 // The deadline of a step passes. A trainer that allows it gets the whole groups
--- a/tests/integration/whole_path_test.cc
+++ b/tests/integration/whole_path_test.cc
@@ -26,7 +26,7 @@
   const pull_outcome outcome = PullAll(fleet, "s1", {{"n2"}});
   EXPECT_TRUE(outcome.is_done);
   ExpectEachSlotOnce(outcome, 32);
-  ExpectWholeLabels(outcome);
+  ExpectCompleteLabels(outcome);
 }
 
 // The trainer sees a short pause and no sample twice or missing. The
@@ -53,7 +53,7 @@
   EXPECT_TRUE(is_killed);
   EXPECT_TRUE(outcome.is_done);
   ExpectEachSlotOnce(outcome, 64);
-  ExpectWholeLabels(outcome);
+  ExpectCompleteLabels(outcome);
 }
 
 // A caller gets a whole or a streamed generation, and a plain call, through any
--- a/tests/soak/soak_test.cc
+++ b/tests/soak/soak_test.cc
@@ -80,7 +80,7 @@
         fleet_.Node(item.node).Signal(SIGCONT);
         break;
       case fault_kind::kLoseDisk: {
-        const size_t identities = fleet_.IdentitiesOf(item.node);
+        const size_t identities = fleet_.CountVoterIdentities(item.node);
         fleet_.KillNode(item.node);
         fleet_.LoseDisk(item.node);
         std::this_thread::sleep_for(item.time);
@@ -92,7 +92,7 @@
         endpoints_.Replace(item.node);
         break;
       case fault_kind::kPowerCut: {
-        const size_t identities = fleet_.IdentitiesOf(item.node);
+        const size_t identities = fleet_.CountVoterIdentities(item.node);
         fleet_.CutPower(item.node);
         ExpectVote(item.node, identities);
         break;
@@ -103,7 +103,8 @@
   // A second disk may be lost only once this one is borne.
   void ExpectVote(const std::string& node, size_t identities) {
     const bool votes = WaitUntil(
-        [&] { return fleet_.IdentitiesOf(node) > identities; }, kStopLimit);
+        [&] { return fleet_.CountVoterIdentities(node) > identities; },
+        kStopLimit);
     if (!votes) wrong_.Add(node + " does not vote again after a lost disk");
   }
 
@@ -141,7 +142,7 @@
   }
   stuttering_fleet endpoints(seed);
   deployment fleet;
-  fleet.more_heartbeats = [&endpoints] { return endpoints.Heartbeats(); };
+  fleet.extra_heartbeats = [&endpoints] { return endpoints.Heartbeats(); };
   for (const char* service : {"echo", "echo", "engines", "engines"}) {
     endpoints.Start(service);
   }
--- a/tests/support/cluster.cc
+++ b/tests/support/cluster.cc
@@ -26,7 +26,8 @@
       std::atoi(ReadValue(file, name).value_or("0").c_str()));
 }
 
-// A port that was free a moment ago.
+// Returns a port that was free when it was checked. Another process may take it
+// before it is used.
 uint16_t PickFreePort() {
   transport::http_server probe(
       {"127.0.0.1:0", 1, 1024},
@@ -78,8 +79,8 @@
 cluster::~cluster() {
   for (auto& item : endpoints_) item.second.running->Kill();
   for (auto& item : nodes_) item.second.running->Kill();
-  const bool keep = std::getenv("HICKORY_KEEP_LOGS") != nullptr;
-  if (!keep) std::filesystem::remove_all(folder_);
+  const bool keep_logs = std::getenv("HICKORY_KEEP_LOGS") != nullptr;
+  if (!keep_logs) std::filesystem::remove_all(folder_);
 }
 
 const node_spec& cluster::Spec(const std::string& id) const {
@@ -162,16 +163,16 @@
     ++controls;
     if (first_control.empty()) first_control = spec.id;
   }
-  const auto founded = web_.Post(Callers(first_control), "/v1/group/bootstrap",
-                                 nlohmann::json::object());
-  if (founded.status != 200) return false;
+  const auto bootstrapped = web_.Post(
+      Callers(first_control), "/v1/group/bootstrap", nlohmann::json::object());
+  if (bootstrapped.status != 200) return false;
   const bool all_vote = WaitUntil([this, controls] {
     const std::string leader = Leader();
     return !leader.empty() &&
            Status(leader)["replica"]["voters"].size() == controls;
   });
   if (!all_vote) return false;
-  // Until every site has leases the change is held.
+  // The change is rejected until every site has leases.
   const bool is_accepted = WaitUntil([this, &base] {
     return Submit(specs_.front().id, "base", base, "first", 0)
                .value("http_status", 0) == 200;
--- a/tests/support/cluster.h
+++ b/tests/support/cluster.h
@@ -1,7 +1,7 @@
 #ifndef HICKORYWOOD_TESTS_SUPPORT_CLUSTER_H_
 #define HICKORYWOOD_TESTS_SUPPORT_CLUSTER_H_
 
-// Real hickoryd processes and fake endpoints for integration tests. Each
+// Runs hickoryd processes and fake endpoints for integration tests. Each
 // directed link between two instances goes through the fault proxy.
 
 #include <map>
@@ -29,22 +29,22 @@
   std::string name = "model-a";
   std::string site = "north";
   std::string zone = "z1";
-  std::vector<std::string> flags;  // more of fake_endpoint's
+  std::vector<std::string> flags;  // additional flags of fake_endpoint
 };
 
 class cluster {
  public:
-  // With `is_direct` the instances reach each other without the proxy, for
-  // measurements.
+  // With `is_direct`, the instances connect to each other without the proxy.
+  // This is for measurements.
   explicit cluster(std::vector<node_spec> nodes,
                    std::string extra_settings = "",
                    std::vector<std::string> extra_flags = {},
                    bool is_direct = false);
   ~cluster();
 
-  // Starts all nodes, founds the group at the first control node, submits
-  // `base` and waits until every node is ready. False when that does not
-  // happen.
+  // Starts all nodes, bootstraps the group at the first control node, submits
+  // `base` and waits until every node is ready. Returns false if one of these
+  // steps fails.
   bool Start(const std::string& base);
 
   void StartNode(const std::string& id);
@@ -61,16 +61,16 @@
     return folder_ + "/" + id + "/log";
   }
 
-  // Faults of the link from one instance to another, or of all links of an
-  // instance, both ways.
+  // Sets the fault of the link from one instance to another, or of all links
+  // from and to an instance.
   void SetLink(const std::string& from, const std::string& to,
                link_fault fault);
   void Isolate(const std::string& id, link_fault fault);
 
-  // Starts a fake endpoint that announces itself to its site's nodes in turn,
-  // behind a proxy link.
+  // Starts a fake endpoint behind a proxy link. It announces itself to the
+  // nodes of its site in turn.
   void StartEndpoint(const endpoint_spec& spec);
-  // The process of a running node, to read its use of the machine.
+  // The process id of a running node, to measure its resource usage.
   pid_t PidOf(const std::string& id) const {
     return nodes_.at(id).running->Pid();
   }
@@ -80,19 +80,20 @@
   uint16_t EndpointLink(const std::string& id) const {
     return endpoints_.at(id).link;
   }
-  // The endpoint itself, past the proxy.
+  // The address of the endpoint itself, which bypasses the proxy.
   std::string EndpointAddress(const std::string& id) const;
-  // Waits until every node that runs routes to that many endpoints.
+  // Waits until every running node routes to exactly `count` endpoints.
   bool WaitForEndpoints(size_t count);
 
-  // The node that leads, with a live lease; empty: none.
+  // The id of the leader with an unexpired lease; empty if there is none.
   std::string Leader(const std::string& except = "");
   bool WaitForLeader(const std::string& except = "");
   nlohmann::json Status(const std::string& id);
   bool IsReady(const std::string& id);
   bool IsRunning(const std::string& id);
 
-  // Submits a file; the answer's body, with "http_status" added.
+  // Submits a configuration file and returns the body of the response, with
+  // "http_status" added.
   nlohmann::json Submit(const std::string& node, const std::string& scope,
                         const std::string& text, const std::string& change_id,
                         int64_t based_on);
@@ -122,21 +123,22 @@
   const std::vector<std::string> extra_flags_;
   const std::string folder_;
   std::map<std::string, uint16_t>
-      direct_ports_;  // by node; empty: links go through the proxy
+      direct_ports_;  // by node; empty if the links go through the proxy
   fault_proxy proxy_;
   std::map<std::pair<std::string, std::string>, uint16_t>
-      links_;  // by from, to
+      links_;  // by source and destination
   std::map<std::string, running_node> nodes_;
   std::map<std::string, running_endpoint> endpoints_;
   web web_;
 };
 
-// A configuration with the pool "pool-a" on "model-a" and the service
+// Returns a configuration with the pool "pool-a" on "model-a" and the service
 // "bookings".
 std::string SmallConfiguration(const std::string& more_of_pool = "",
                                const std::string& more = "");
 
-// Three control nodes of one site in three availability zones: n1, n2, n3.
+// Returns three control nodes of one site in three availability zones: n1, n2,
+// n3.
 std::vector<node_spec> ThreeNodes();
 
 }  // namespace hickorywood::testing
--- a/tests/support/deployment.cc
+++ b/tests/support/deployment.cc
@@ -24,11 +24,11 @@
 constexpr std::chrono::milliseconds kHeartbeatTimeout{1000};
 constexpr std::chrono::milliseconds kCallTimeout{3000};
 
-std::string NodeIp(int number) {
+std::string NodeAddress(int number) {
   return "127.1.1." + std::to_string(number + 1);
 }
 
-// Whether the port can be taken at every node's address.
+// Returns whether the port can be bound at the address of every node.
 bool IsFreeEverywhere(int port) {
   bool is_free = true;
   for (int i = 0; i < kNodes && is_free; ++i) {
@@ -36,16 +36,16 @@
     sockaddr_in where{};
     where.sin_family = AF_INET;
     where.sin_port = htons(static_cast<uint16_t>(port));
-    inet_pton(AF_INET, NodeIp(i).c_str(), &where.sin_addr);
+    inet_pton(AF_INET, NodeAddress(i).c_str(), &where.sin_addr);
     is_free = bind(fd, reinterpret_cast<sockaddr*>(&where), sizeof where) == 0;
     close(fd);
   }
   return is_free;
 }
 
-// A port of the kernel's choice that is the same at all nodes, as the platform
-// has it.
-int TakePort() {
+// Returns a free port, chosen by the kernel, that is the same for all nodes, as
+// on the platform.
+int PickCommonPort() {
   for (;;) {
     const int fd = socket(AF_INET, SOCK_STREAM, 0);
     sockaddr_in where{};
@@ -96,10 +96,10 @@
 
 deployment::deployment()
     : folder_(MakeTemporaryFolder()),
-      peers_port_(TakePort()),
-      callers_port_(TakePort()),
-      control_port_(TakePort()),
-      ready_port_(TakePort()) {
+      peers_port_(PickCommonPort()),
+      callers_port_(PickCommonPort()),
+      control_port_(PickCommonPort()),
+      ready_port_(PickCommonPort()) {
   for (const char* id : {"c1", "c2", "c3"}) {
     AddNode(id, "control");
     controls_.emplace_back(id);
@@ -114,11 +114,11 @@
 }
 
 deployment::~deployment() {
-  is_over_ = true;
+  is_stopping_ = true;
   if (heartbeats_.joinable()) heartbeats_.join();
   nodes_.clear();
   if (::testing::Test::HasFailure()) {
-    std::cerr << "logs are kept in " << folder_ << "\n";
+    std::cerr << "logs are stored in " << folder_ << "\n";
     return;
   }
   std::filesystem::remove_all(folder_);
@@ -127,7 +127,7 @@
 void deployment::AddNode(const std::string& id, const std::string& role) {
   node& item = nodes_[id];
   item.role = role;
-  item.ip = NodeIp(static_cast<int>(nodes_.size()) - 1);
+  item.ip = NodeAddress(static_cast<int>(nodes_.size()) - 1);
 }
 
 std::string deployment::Address(const std::string& id, int port) const {
@@ -156,9 +156,9 @@
   out.close();
   item.was_started = true;
   item.is_up = true;
-  std::error_code no_log_yet;
-  const auto logged = std::filesystem::file_size(LogOf(id), no_log_yet);
-  item.logged = no_log_yet ? 0 : logged;
+  std::error_code no_log;
+  const auto log_offset = std::filesystem::file_size(LogOf(id), no_log);
+  item.log_offset = no_log ? 0 : log_offset;
   item.running = std::make_unique<process>(
       std::vector<std::string>{ProgramPath(), "--node_settings=" + file},
       LogOf(id));
@@ -166,7 +166,7 @@
 
 bool deployment::HasStarted(const std::string& id) const {
   std::ifstream log(LogOf(id));
-  log.seekg(static_cast<std::streamoff>(nodes_.at(id).logged));
+  log.seekg(static_cast<std::streamoff>(nodes_.at(id).log_offset));
   for (std::string line; std::getline(log, line);) {
     if (line.find("HK1001") != std::string::npos) return true;
   }
@@ -204,10 +204,10 @@
   return group;
 }
 
-bool deployment::IsVoter(const std::string& teller,
+bool deployment::IsVoter(const std::string& observer,
                          const std::string& id) const {
   const std::string address = Address(id, peers_port_) + "/";
-  std::ifstream log(LogOf(teller));
+  std::ifstream log(LogOf(observer));
   bool is_voter = false;
   for (std::string line; std::getline(log, line);) {
     const bool is_list = line.find("HK2007") != std::string::npos ||
@@ -217,7 +217,7 @@
   return is_voter;
 }
 
-size_t deployment::IdentitiesOf(const std::string& node) const {
+size_t deployment::CountVoterIdentities(const std::string& node) const {
   const std::regex identity(Address(node, peers_port_) + "/([0-9a-f]+)");
   std::set<std::string> found;
   for (const std::string& other : GroupOf(node)) {
@@ -251,14 +251,14 @@
 
 void deployment::SendHeartbeats() {
   size_t turn = 0;
-  while (!is_over_) {
+  while (!is_stopping_) {
     std::map<std::string, std::string> bodies;
-    if (more_heartbeats) bodies = more_heartbeats();
+    if (extra_heartbeats) bodies = extra_heartbeats();
     for (const std::string& incarnation : endpoints_.Incarnations()) {
       bodies[incarnation] = endpoints_.HeartbeatOf(incarnation);
     }
     for (const auto& [incarnation, body] : bodies) {
-      if (body.empty()) continue;  // it has ended since
+      if (body.empty()) continue;  // the endpoint has terminated
       transport::http_request input;
       input.url = "http://" +
                   Address(controls_[turn++ % controls_.size()], control_port_) +
@@ -291,15 +291,15 @@
 }
 
 int deployment::VersionAt(const std::string& control) {
-  const json held =
+  const json tree =
       web_.GetJson(Address(control, control_port_), "/v1/config/get");
-  return held.is_object() ? held.value("version", 0) : 0;
+  return tree.is_object() ? tree.value("version", 0) : 0;
 }
 
 json deployment::Quarantine(const std::string& control) {
-  const json held =
+  const json tree =
       web_.GetJson(Address(control, control_port_), "/hickory/v1/quarantine");
-  return held.is_object() ? held["warnings"] : json::array();
+  return tree.is_object() ? tree["warnings"] : json::array();
 }
 
 bool deployment::Lift(const std::string& control, const std::string& digest) {
@@ -334,13 +334,13 @@
   return web_.Send(MakePlain(entry, request_id, request_id));
 }
 
-transport::http_response deployment::Impatient(
+transport::http_response deployment::SendWithTimeout(
     const std::string& entry, const std::string& path,
     const std::string& request_id, const std::string& body,
-    std::chrono::milliseconds patience) {
+    std::chrono::milliseconds timeout) {
   transport::http_request input = MakeRequest(entry, path, request_id);
   input.body = body;
-  input.total_timeout = patience;
+  input.total_timeout = timeout;
   return web_.Send(std::move(input));
 }
 
--- a/tests/support/deployment.h
+++ b/tests/support/deployment.h
@@ -1,9 +1,9 @@
 #ifndef HICKORYWOOD_TESTS_SUPPORT_DEPLOYMENT_H_
 #define HICKORYWOOD_TESTS_SUPPORT_DEPLOYMENT_H_
 
-// A whole deployment of real processes that find each other by seeds: control
-// instances, stores and entries, each on a loopback address of its own, before
-// stand-in endpoints.
+// A complete deployment of real processes that discover each other through
+// seeds: control instances, stores and entries, each on its own loopback
+// address, with simulated endpoints in the test's process.
 
 #include <atomic>
 #include <functional>
@@ -19,7 +19,7 @@
 
 namespace hickorywood::testing {
 
-// The program under test.
+// The path of the program under test.
 std::string ProgramPath();
 
 class deployment {
@@ -29,43 +29,47 @@
   deployment(const deployment&) = delete;
   deployment& operator=(const deployment&) = delete;
 
-  // Starts everything, puts configuration 1 in force and waits until the
-  // entries are ready. False when that does not happen.
+  // Starts all instances except the spare control instance, applies
+  // configuration 1 and waits until the entries are ready. Returns false if one
+  // of these steps fails.
   bool Start();
 
   void StartNode(const std::string& id);
   void KillNode(const std::string& id);
-  // Whether the process that runs now has logged that it started.
+  // Whether the current process of this node has logged its start.
   bool HasStarted(const std::string& id) const;
-  // Starts the control instance that Start() leaves out: empty, in a group that
-  // was founded before.
+  // Starts the control instance that Start() leaves out. It joins, with an
+  // empty disk, a group that was bootstrapped before.
   void StartSpareControl();
-  // Kills all that runs, removes the data folder of `wiped`, and starts it all
-  // again.
+  // Kills all running instances, removes the data folder of `wiped`, and
+  // restarts them.
   void CutPower(const std::string& wiped);
-  // Storage identities under which a store or a control instance has voted so
-  // far, as the logs of its group list the voters.
-  size_t IdentitiesOf(const std::string& node) const;
-  // Whether `id` is in the latest list of voters in the log of `teller`.
-  bool IsVoter(const std::string& teller, const std::string& id) const;
+  // The number of storage identities under which a store or a control instance
+  // has been a voter so far, according to the voter lists in the logs of its
+  // group.
+  size_t CountVoterIdentities(const std::string& node) const;
+  // Whether `id` is in the latest voter list in the log of `observer`.
+  bool IsVoter(const std::string& observer, const std::string& id) const;
   // Removes the data folder of a stopped instance.
   void LoseDisk(const std::string& id);
   process& Node(const std::string& id) { return *nodes_.at(id).running; }
   bool IsReady(const std::string& entry);
-  // Endpoints beside the stand-ins: the bodies of their next heartbeats, by
-  // incarnation. Set before Start().
-  std::function<std::map<std::string, std::string>()> more_heartbeats;
+  // Returns the next heartbeats of endpoints outside this deployment: the
+  // bodies by incarnation. Must be set before Start().
+  std::function<std::map<std::string, std::string>()> extra_heartbeats;
 
-  // Sends it to the control instances in turn until one takes it.
+  // Sends a configuration to the control instances in turn until one accepts
+  // it.
   bool PutConfiguration(int version, bool with_plain_route);
-  // What a control instance says is in force; 0: it can't tell.
+  // The configuration version that a control instance reports; 0 if it reports
+  // none.
   int VersionAt(const std::string& control);
 
-  // The requests that a control instance says are held back or suspected.
+  // The quarantined and suspected requests that a control instance reports.
   nlohmann::json Quarantine(const std::string& control);
   bool Lift(const std::string& control, const std::string& digest);
 
-  // A request to an entry that names itself, without a body.
+  // Creates a request with a request id to an entry, without a body.
   transport::http_request MakeRequest(const std::string& entry,
                                       const std::string& path,
                                       const std::string& request_id) const;
@@ -74,41 +78,43 @@
   transport::http_response PlainWithBody(const std::string& entry,
                                          const std::string& request_id,
                                          const std::string& body);
-  // The caller leaves after `patience`. `path` is that of a route: "/p/x" of
-  // plain requests, "/q/x" of streams.
-  transport::http_response Impatient(const std::string& entry,
-                                     const std::string& path,
-                                     const std::string& request_id,
-                                     const std::string& body,
-                                     std::chrono::milliseconds patience);
-  // A request that engines answer by a series of events.
+  // Sends a request and disconnects after `timeout`. `path` is the path of a
+  // route: "/p/x" for plain requests, "/q/x" for streams.
+  transport::http_response SendWithTimeout(const std::string& entry,
+                                           const std::string& path,
+                                           const std::string& request_id,
+                                           const std::string& body,
+                                           std::chrono::milliseconds timeout);
+  // Sends a request that engines answer with a stream of events.
   transport::http_response Stream(const std::string& entry,
                                   const std::string& request_id,
                                   const std::string& body);
   std::future<transport::http_response> PlainLater(
       const std::string& entry, const std::string& request_id);
-  // Submits a step of `tasks` tasks until it is accepted. The body of the task
-  // `crashing` is kCrashBody.
+  // Submits a step of `tasks` tasks and retries until it is accepted. The body
+  // of the task with the index `crashing` is kCrashBody.
   bool Submit(const std::string& entry, const std::string& step, int tasks,
               bool with_rewards = false, int crashing = -1);
-  // Ends a step until that is acknowledged.
+  // Ends a step and retries until the end is acknowledged.
   bool End(const std::string& entry, const std::string& step);
-  // All results of a step as one entry lists them, once there are `count`.
+  // Waits until an entry lists at least `count` results of a step, and returns
+  // its results.
   nlohmann::json WaitForResults(const std::string& entry,
                                 const std::string& step, size_t count);
 
-  // The results of a step from a position on, as one entry answers.
+  // Reads the results of a step after a position from an entry.
   transport::http_response ReadResults(const std::string& entry,
                                        const std::string& step, size_t after);
-  // The body of a task as one entry answers it.
+  // Reads the body of a task from an entry.
   transport::http_response ReadBody(const std::string& entry,
                                     const std::string& step, int task);
 
   static constexpr char kSpareControl[] = "c4";
-  // Of requests that take down what runs them, once the stand-ins are told.
+  // Body of requests that crash the endpoint that runs them, once CrashOnBody()
+  // was called with it.
   static constexpr char kCrashBody[] = "crash";
   static std::string TaskId(const std::string& step, int task);
-  // The body that a task is submitted with; it holds every byte value.
+  // The body with which a task is submitted. It contains every byte value.
   static std::string BodyOf(const std::string& step, int task);
   static std::string RewardId(const std::string& step, int task);
   const std::vector<std::string>& Stores() const { return stores_; }
@@ -125,7 +131,8 @@
     std::string ip;
     std::unique_ptr<process> running;
     bool was_started = false;
-    std::uintmax_t logged = 0;  // bytes of its log before the latest start
+    std::uintmax_t log_offset =
+        0;  // size of its log before the latest start, in bytes
     bool is_up = false;
   };
 
@@ -147,7 +154,7 @@
   std::vector<std::string> controls_;
   stand_in_endpoints endpoints_;
   web web_;
-  std::atomic<bool> is_over_{false};
+  std::atomic<bool> is_stopping_{false};
   std::thread heartbeats_;
 };
 
--- a/tests/support/fault_proxy.cc
+++ b/tests/support/fault_proxy.cc
@@ -43,7 +43,8 @@
   return fd;
 }
 
-// Closes with a reset, as a process that died does.
+// Closes a connection with a reset, as the kernel does for a process that
+// crashed.
 void Reset(int fd) {
   if (fd < 0) return;
   const linger hard{1, 0};
@@ -61,15 +62,15 @@
   int from = -1;
   int to = -1;
   bool is_answer = false;
-  bool is_ended = false;  // `from` has closed its side
-  bool is_end_passed = false;
+  bool is_closed = false;  // `from` has closed its side
+  bool is_close_forwarded = false;
   std::deque<delayed_piece> pieces;
 };
 
 struct connection {
   direction request;
   direction answer;
-  bool is_silenced = false;
+  bool is_blackholed = false;
   bool is_dead = false;
 };
 
@@ -96,7 +97,7 @@
     if (write(wake_fd, &one, sizeof(one)) < 0) return;
   }
   void Run();
-  int Watch(std::vector<pollfd>& fds);
+  int CollectDescriptors(std::vector<pollfd>& fds);
   void Serve(link& item, std::map<int, short>& ready);
   static void Accept(link& item);
   static void Read(const link& item, connection& pair, direction& way);
@@ -145,11 +146,11 @@
     return;
   }
   const bool is_dropped =
-      pair.is_silenced || item.fault == link_fault::kSilent ||
-      (item.fault == link_fault::kSilentAnswers && way.is_answer);
+      pair.is_blackholed || item.fault == link_fault::kBlackhole ||
+      (item.fault == link_fault::kDropResponses && way.is_answer);
   if (count == 0) {
-    way.is_ended = true;
-    way.is_end_passed = is_dropped;
+    way.is_closed = true;
+    way.is_close_forwarded = is_dropped;
     return;
   }
   if (is_dropped) return;
@@ -172,9 +173,9 @@
     if (!bytes.empty()) return;
     way.pieces.pop_front();
   }
-  if (way.is_ended && !way.is_end_passed && way.pieces.empty()) {
+  if (way.is_closed && !way.is_close_forwarded && way.pieces.empty()) {
     shutdown(way.to, SHUT_WR);
-    way.is_end_passed = true;
+    way.is_close_forwarded = true;
   }
 }
 
@@ -186,17 +187,17 @@
   item.connections.clear();
 }
 
-// Fills in what to poll and returns the time-out, which is up when the next
-// delayed piece is due.
-int fault_proxy::impl::Watch(std::vector<pollfd>& fds) {
-  constexpr int kLongestWait = 1000;
-  int timeout = kLongestWait;
+// Fills in the descriptors to poll and returns the poll timeout, which expires
+// when the next delayed piece is due.
+int fault_proxy::impl::CollectDescriptors(std::vector<pollfd>& fds) {
+  constexpr int kMaxWaitMs = 1000;
+  int timeout = kMaxWaitMs;
   const steady::time_point now = steady::now();
   for (auto& [port, item] : links) {
     fds.push_back({item.listener, POLLIN, 0});
     for (const auto& pair : item.connections) {
       for (const direction* way : {&pair->request, &pair->answer}) {
-        if (!way->is_ended) fds.push_back({way->from, POLLIN, 0});
+        if (!way->is_closed) fds.push_back({way->from, POLLIN, 0});
         if (way->pieces.empty()) continue;
         if (way->pieces.front().due <= now) {
           fds.push_back({way->to, POLLOUT, 0});
@@ -216,12 +217,12 @@
   const steady::time_point now = steady::now();
   for (const auto& pair : item.connections) {
     for (direction* way : {&pair->request, &pair->answer}) {
-      if (!way->is_ended && ready[way->from] != 0) Read(item, *pair, *way);
+      if (!way->is_closed && ready[way->from] != 0) Read(item, *pair, *way);
       Deliver(*pair, *way, now);
     }
-    const bool is_over =
-        pair->request.is_end_passed && pair->answer.is_end_passed;
-    if (!pair->is_dead && !is_over) continue;
+    const bool is_finished =
+        pair->request.is_close_forwarded && pair->answer.is_close_forwarded;
+    if (!pair->is_dead && !is_finished) continue;
     Reset(pair->request.from);
     Reset(pair->request.to);
     pair->request.from = -1;
@@ -239,7 +240,7 @@
     {
       const std::lock_guard<std::mutex> lock(mutex);
       if (stopping) return;
-      timeout = Watch(fds);
+      timeout = CollectDescriptors(fds);
     }
     poll(fds.data(), fds.size(), timeout);
     std::map<int, short> ready;
@@ -292,14 +293,15 @@
   const std::lock_guard<std::mutex> lock(impl_->mutex);
   auto& item = impl_->links.at(link);
   if (fault == link_fault::kCut) impl::CloseAll(item);
-  // What a link dropped stays lost: its streams have gaps, so these connections
-  // never work again.
-  const bool goes_silent =
-      fault == link_fault::kSilentExisting || fault == link_fault::kSilent;
+  // Data that a link dropped is not sent again. The streams of its connections
+  // have gaps, so these connections stay unusable.
+  const bool is_blackhole = fault == link_fault::kBlackholeExisting ||
+                            fault == link_fault::kBlackhole;
   for (const auto& pair : item.connections) {
-    pair->is_silenced = pair->is_silenced || goes_silent;
+    pair->is_blackholed = pair->is_blackholed || is_blackhole;
   }
-  item.fault = fault == link_fault::kSilentExisting ? link_fault::kNone : fault;
+  item.fault =
+      fault == link_fault::kBlackholeExisting ? link_fault::kNone : fault;
   impl_->Wake();
 }
 
--- a/tests/support/process.cc
+++ b/tests/support/process.cc
@@ -27,7 +27,8 @@
   posix_spawn_file_actions_addopen(&actions, STDOUT_FILENO, log_file.c_str(),
                                    O_WRONLY | O_CREAT | O_APPEND, 0600);
   posix_spawn_file_actions_adddup2(&actions, STDOUT_FILENO, STDERR_FILENO);
-  // A socket of the test that a child holds too outlives its close.
+  // Closes the test's descriptors in the child. Otherwise a socket would stay
+  // open in the child after the test has closed it.
   posix_spawn_file_actions_addclosefrom_np(&actions, STDERR_FILENO + 1);
   std::vector<char*> argv;
   for (const std::string& argument : arguments) {
@@ -69,9 +70,9 @@
 
 bool WaitUntil(const std::function<bool()>& condition,
                std::chrono::milliseconds limit) {
-  const auto give_up_at = std::chrono::steady_clock::now() + limit;
+  const auto deadline = std::chrono::steady_clock::now() + limit;
   while (!condition()) {
-    if (std::chrono::steady_clock::now() >= give_up_at) return false;
+    if (std::chrono::steady_clock::now() >= deadline) return false;
     std::this_thread::sleep_for(kPollPeriod);
   }
   return true;
--- a/tests/support/process.h
+++ b/tests/support/process.h
@@ -11,7 +11,7 @@
 
 namespace hickorywood::testing {
 
-// A child process of a test. Killed, at the latest, when the object goes away.
+// A child process of a test. The destructor kills it if it is still running.
 class process {
  public:
   process(const std::vector<std::string>& arguments,
@@ -21,10 +21,11 @@
   process& operator=(const process&) = delete;
 
   void Signal(int number) const;
-  // SIGKILL, and waits for the end.
+  // Sends SIGKILL and waits until the process has terminated.
   void Kill();
-  // Waits for the end; empty when it does not come within `limit`. A death by
-  // signal gives -signal.
+  // Waits until the process terminates and returns its exit code, or -signal if
+  // a signal terminated it. Returns an empty optional if it is still running
+  // after `limit`.
   std::optional<int> WaitForExit(std::chrono::milliseconds limit);
   pid_t Pid() const { return pid_; }
 
@@ -33,13 +34,13 @@
   std::optional<int> exit_code_;
 };
 
-// Asks `condition` again and again until it holds. False when it does not
-// within `limit`, which is generous: it only ends a test that hangs.
+// Polls `condition` until it is true. Returns false if it is still false after
+// `limit`, which is long because it only ends tests that hang.
 bool WaitUntil(
     const std::function<bool()>& condition,
     std::chrono::milliseconds limit = std::chrono::milliseconds(30000));
 
-// A new empty folder for one test, under the system's folder for such.
+// Creates an empty folder for one test in the system's temporary folder.
 std::string MakeTemporaryFolder();
 
 }  // namespace hickorywood::testing
--- a/tests/support/stand_in_endpoints.cc
+++ b/tests/support/stand_in_endpoints.cc
@@ -17,10 +17,10 @@
 using nlohmann::json;
 
 constexpr char kSignature[] = "X-Response-Stamp";
-// Path of requests whose body names the task that they score.
+// Path of reward requests. Their body is the id of the task to be scored.
 constexpr char kRewardPath[] = "/p/reward";
-// How long a request that takes its endpoint down runs, and how long that one
-// is away.
+// Time between the start of a crashing request and the crash, and time between
+// the crash and the restart.
 constexpr std::chrono::milliseconds kTimeToCrash{50};
 constexpr std::chrono::milliseconds kDownTime{500};
 
@@ -54,7 +54,7 @@
   int sequence = 0;
   int orders = 0;
   int64_t version = 1;
-  bool has_ended = false;
+  bool has_crashed = false;
 };
 
 stand_in_endpoints::stand_in_endpoints()
@@ -78,20 +78,20 @@
 
 std::shared_ptr<stand_in_endpoints::endpoint> stand_in_endpoints::Open(
     const std::string& service, const std::string& address) {
-  auto fresh = std::make_shared<endpoint>();
-  fresh->service = service;
+  auto created = std::make_shared<endpoint>();
+  created->service = service;
   net::listener_options options;
   options.address = address;
   options.limits = [] { return net::caller_limits{}; };
-  fresh->listening = std::make_unique<net::listener>(
+  created->listening = std::make_unique<net::listener>(
       loop_, options,
-      [this, fresh](net::exchange& call) { return Serve(fresh, call); });
-  fresh->listening->Start();
-  fresh->address = "127.0.0.1:" + std::to_string(fresh->listening->Port());
+      [this, created](net::exchange& call) { return Serve(created, call); });
+  created->listening->Start();
+  created->address = "127.0.0.1:" + std::to_string(created->listening->Port());
   const std::lock_guard<std::mutex> lock(mutex_);
-  fresh->incarnation = "i-" + service + "-" + std::to_string(started_++);
-  endpoints_[fresh->incarnation] = fresh;
-  return fresh;
+  created->incarnation = "i-" + service + "-" + std::to_string(started_++);
+  endpoints_[created->incarnation] = created;
+  return created;
 }
 
 void stand_in_endpoints::CrashOnBody(const std::string& body) {
@@ -120,8 +120,8 @@
 }
 
 void stand_in_endpoints::Crash(const std::shared_ptr<endpoint>& self) {
-  if (self->has_ended) return;
-  self->has_ended = true;
+  if (self->has_crashed) return;
+  self->has_crashed = true;
   self->listening->StopAccepting();
   {
     const std::lock_guard<std::mutex> lock(mutex_);
@@ -222,7 +222,7 @@
   return stream;
 }
 
-void stand_in_endpoints::NoteRun(const std::string& request_id) {
+void stand_in_endpoints::CountRun(const std::string& request_id) {
   const std::lock_guard<std::mutex> lock(mutex_);
   ++runs_[request_id];
 }
@@ -250,15 +250,15 @@
   if (input.target == "/v1/order") {
     self->version = json::parse(input.body).at("version").get<int64_t>();
     ++self->orders;
-    net::response taken;
-    taken.status = 202;
-    co_await call.Reply(std::move(taken));
+    net::response accepted;
+    accepted.status = 202;
+    co_await call.Reply(std::move(accepted));
     co_return;
   }
-  const bool streams_first = self->service == "engines" && crash_after_ > 0;
-  if (IsCrashing(input) && !streams_first) {
-    NoteRun(std::string(net::Find(input.headers, "X-Request-Id")));
-    // Also where the caller leaves meanwhile.
+  const bool crashes_later = self->service == "engines" && crash_after_ > 0;
+  if (IsCrashing(input) && !crashes_later) {
+    CountRun(std::string(net::Find(input.headers, "X-Request-Id")));
+    // The endpoint crashes even if the caller disconnects in the meantime.
     boost::asio::co_spawn(loop_, CrashSoon(self, kTimeToCrash),
                           boost::asio::detached);
     co_await net::Sleep(2 * kTimeToCrash);
@@ -275,16 +275,16 @@
                                                net::exchange& call) {
   const net::request& input = call.Request();
   const std::string id(net::Find(input.headers, "X-Request-Id"));
-  NoteRun(id);
+  CountRun(id);
   int status = 200;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     const bool is_reward = input.target.starts_with(kRewardPath);
-    if (is_reward && whole_texts_.count(input.body) == 0) ++early_rewards_;
+    if (is_reward && complete_ids_.count(input.body) == 0) ++early_rewards_;
     if (failures_left_[id]-- > 0) status = 500;
   }
   co_await net::Sleep(work_time_);
-  if (self->has_ended) co_return;
+  if (self->has_crashed) co_return;
   net::response answer = SignedAnswer(input, status, "echo " + input.body);
   co_await call.Reply(std::move(answer));
 }
@@ -294,13 +294,13 @@
   const net::request& input = call.Request();
   const std::string id(net::Find(input.headers, "X-Request-Id"));
   const std::string last(net::Find(input.headers, "Last-Event-Id"));
-  NoteRun(id);
+  CountRun(id);
   net::response head = SignedAnswer(input, 200, "");
   head.headers.push_back({"X-Weight-Versions", std::to_string(self->version)});
   co_await call.BeginStream(std::move(head));
   const int first = last.empty() ? 1 : std::stoi(last) + 1;
   const int crash_at = IsCrashing(input) ? first + crash_after_ : kEvents + 1;
-  // Also where the caller leaves before that event.
+  // The endpoint crashes even if the caller disconnects before the crash event.
   if (IsCrashing(input)) {
     boost::asio::co_spawn(loop_,
                           CrashSoon(self, 2 * crash_after_ * event_time_),
@@ -309,11 +309,11 @@
   for (int event = first; event <= kEvents; ++event) {
     co_await net::Sleep(event_time_);
     if (event >= crash_at) Crash(self);
-    if (self->has_ended) co_return;
-    const bool breaks =
-        break_after_ > 0 && event > break_after_ && !was_broken_[id];
-    if (breaks) {
-      was_broken_[id] = true;
+    if (self->has_crashed) co_return;
+    const bool is_interrupted =
+        break_after_ > 0 && event > break_after_ && !was_interrupted_[id];
+    if (is_interrupted) {
+      was_interrupted_[id] = true;
       co_return;
     }
     std::string frame = EventFrame(id, event);
@@ -321,7 +321,7 @@
   }
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    whole_texts_.insert(id);
+    complete_ids_.insert(id);
   }
   co_await call.EndStream();
 }
--- a/tests/support/stand_in_endpoints.h
+++ b/tests/support/stand_in_endpoints.h
@@ -1,9 +1,9 @@
 #ifndef HICKORYWOOD_TESTS_SUPPORT_STAND_IN_ENDPOINTS_H_
 #define HICKORYWOOD_TESTS_SUPPORT_STAND_IN_ENDPOINTS_H_
 
-// Endpoints as the platform has them, within the test's process: plain services
-// that echo, and engines that stream events. They refuse requests for another
-// incarnation, take orders and report.
+// Simulated endpoints of the platform within the test's process: plain services
+// that echo requests, and engines that stream events. They reject requests for
+// another incarnation, accept orders and send reports.
 
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/io_context.hpp>
@@ -29,41 +29,44 @@
 
   // Starts an endpoint of `service` and returns its incarnation.
   std::string Start(const std::string& service);
-  // The body of its next heartbeat.
+  // Returns the body of the endpoint's next heartbeat; empty if the endpoint
+  // has terminated.
   std::string HeartbeatOf(const std::string& incarnation);
   std::vector<std::string> Incarnations();
 
-  // Time that a plain request takes.
+  // Sets the processing time of a plain request.
   void SetWorkTime(std::chrono::milliseconds time);
-  // Time between two events of a stream.
+  // Sets the time between two events of a stream.
   void SetEventTime(std::chrono::milliseconds time);
-  // Each stream breaks off once, after this many events.
+  // Interrupts each stream once, after this many events.
   void BreakStreamsAfter(int events);
 
-  // Requests with this body take their endpoint down: all its connections break
-  // and nothing listens there until it is back, at the same address under a new
-  // incarnation, after a while.
+  // Requests with this body crash the endpoint that runs them: it stops
+  // listening and drops its requests. It restarts after some time at the same
+  // address under a new incarnation.
   void CrashOnBody(const std::string& body);
-  // Engines send so many events of such a request before they end.
+  // Sets the number of events that engines send for a crashing request before
+  // they crash.
   void CrashAfterEvents(int events);
-  // Endpoints that ended so.
+  // The number of crashes so far.
   int Crashes();
-  // Endpoints that run now.
+  // The number of running endpoints.
   size_t Running();
 
-  // The next plain requests of these ids get a failed answer, so often each.
+  // Lets the next `times` plain requests with this id fail.
   void FailPlain(const std::string& request_id, int times);
 
-  // How often a request of this id was run.
+  // The number of times that a request with this id was run.
   int RunsOf(const std::string& request_id);
 
-  // Reward requests whose body names a task that no stream had ended yet.
+  // The number of reward requests that arrived before the stream of their task
+  // was complete.
   int EarlyRewards();
 
-  static constexpr int kEvents = 20;  // of each stream
-  // The whole output of a task, as trainers read it.
+  static constexpr int kEvents = 20;  // number of events in each stream
+  // The complete output of a task in the format that trainers read.
   static std::string OutputOf(const std::string& request_id);
-  // The events of its stream from `first` on, as they are sent.
+  // The events of a task's stream from `first` on, as sent on the wire.
   static std::string StreamOf(const std::string& request_id, int first);
   static std::string Heartbeat(const std::string& service,
                                const std::string& address, int64_t version,
@@ -75,7 +78,7 @@
   std::shared_ptr<endpoint> Open(const std::string& service,
                                  const std::string& address);
   bool IsCrashing(const net::request& input);
-  // Ends `self` and starts its successor later.
+  // Crashes `self` and restarts it after the down time.
   void Crash(const std::shared_ptr<endpoint>& self);
   boost::asio::awaitable<void> CrashSoon(std::shared_ptr<endpoint> self,
                                          std::chrono::milliseconds time);
@@ -87,24 +90,24 @@
                                           net::exchange& call);
   boost::asio::awaitable<void> ServeStream(std::shared_ptr<endpoint> self,
                                            net::exchange& call);
-  void NoteRun(const std::string& request_id);
+  void CountRun(const std::string& request_id);
 
   boost::asio::io_context loop_;
   std::mutex mutex_;
   std::map<std::string, std::shared_ptr<endpoint>> endpoints_;
   std::map<std::string, int> runs_;
-  std::map<std::string, bool> was_broken_;
+  std::map<std::string, bool> was_interrupted_;
   std::map<std::string, int> failures_left_;  // by request
-  std::set<std::string> whole_texts_;         // by task
+  std::set<std::string> complete_ids_;        // by task
   std::string crash_body_;                    // empty: no request crashes
-  int crash_after_ = 0;                       // events
+  int crash_after_ = 0;                       // number of events
   int crashes_ = 0;
   int started_ = 0;
   int early_rewards_ = 0;
   std::chrono::milliseconds work_time_{1};
   std::chrono::milliseconds event_time_{2};
   int break_after_ = 0;
-  std::thread thread_;  // last: it uses all of the above
+  std::thread thread_;  // declared last because it uses the members above
 };
 
 }  // namespace hickorywood::testing
--- a/tests/support/stuttering_server.cc
+++ b/tests/support/stuttering_server.cc
@@ -23,14 +23,15 @@
 using std::chrono::milliseconds;
 
 constexpr auto kNoThrow = asio::as_tuple(asio::use_awaitable);
-// Names the request in requests and answers, of callers and of our instances.
+// Headers with the request id in requests and responses, of callers and of
+// instances.
 constexpr const char* kIdHeaders[] = {"X-Request-Id", "X-Call-Id"};
 constexpr char kInterim[] =
     "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\n\r\n";
-// How late second answers come.
+// Delays of late second responses.
 constexpr milliseconds kDelays[] = {milliseconds(1), milliseconds(20),
                                     milliseconds(200), milliseconds(2000)};
-// A request is at work for this much longer than the second answer is late.
+// Processing times exceed the delay of the second response by this margin.
 constexpr milliseconds kMargin{30};
 
 std::string Encode(const request& input, const scripted_answer& answer,
@@ -47,32 +48,32 @@
     head += std::string(name) + ": " + (is_other ? "nobody-sent-it" : id);
     head += "\r\n";
   }
-  if (form != answer_form::kUnframed) {
+  if (form != answer_form::kWithoutLength) {
     head += "Content-Length: " + std::to_string(body.size()) + "\r\n";
   }
   const size_t size = form == answer_form::kCut ? body.size() / 2 : body.size();
   return head + "\r\n" + body.substr(0, size);
 }
 
-const char* Word(named_request named) {
+const char* NameOf(named_request named) {
   switch (named) {
     case named_request::kNone:
-      return "names none";
+      return "without a request id";
     case named_request::kRepeated:
-      return "names the request that it repeats";
+      return "with the id of the same request";
     case named_request::kOther:
-      return "names another request";
+      return "with the id of another request";
   }
   return "";
 }
 
-const char* Word(answer_form form) {
+const char* NameOf(answer_form form) {
   switch (form) {
     case answer_form::kWhole:
-      return "whole";
+      return "complete";
     case answer_form::kCut:
-      return "cut";
-    case answer_form::kUnframed:
+      return "truncated";
+    case answer_form::kWithoutLength:
       return "without a length";
   }
   return "";
@@ -81,16 +82,16 @@
 }  // namespace
 
 std::ostream& operator<<(std::ostream& out, const stutter& input) {
-  out << Word(input.named) << ", " << Word(input.form) << ", ";
+  out << NameOf(input.named) << ", " << NameOf(input.form) << ", ";
   switch (input.moment) {
     case second_moment::kNever:
       return out << "never";
-    case second_moment::kBehind:
-      return out << "right behind";
+    case second_moment::kImmediate:
+      return out << "in the same write";
     case second_moment::kLate:
       return out << input.delay.count() << " ms late";
-    case second_moment::kBeforeNext:
-      return out << "before the next answer";
+    case second_moment::kBeforeNextResponse:
+      return out << "before the next response";
   }
   return out;
 }
@@ -99,10 +100,10 @@
   std::vector<stutter> all;
   for (const auto named : {named_request::kNone, named_request::kRepeated,
                            named_request::kOther}) {
-    for (const auto form :
-         {answer_form::kWhole, answer_form::kCut, answer_form::kUnframed}) {
-      all.push_back({named, form, second_moment::kBehind});
-      all.push_back({named, form, second_moment::kBeforeNext});
+    for (const auto form : {answer_form::kWhole, answer_form::kCut,
+                            answer_form::kWithoutLength}) {
+      all.push_back({named, form, second_moment::kImmediate});
+      all.push_back({named, form, second_moment::kBeforeNextResponse});
       for (const milliseconds delay : kDelays) {
         all.push_back(
             {named, form, second_moment::kLate, delay, delay + kMargin});
@@ -140,10 +141,10 @@
     auto [failure, socket] = co_await acceptor.async_accept(kNoThrow);
     if (failure) co_return;
     ++connections;
-    const auto held = std::make_shared<tcp::socket>(std::move(socket));
+    const auto shared = std::make_shared<tcp::socket>(std::move(socket));
     std::erase_if(sockets, [](const auto& item) { return item.expired(); });
-    sockets.push_back(held);
-    asio::co_spawn(loop, Serve(held), asio::detached);
+    sockets.push_back(shared);
+    asio::co_spawn(loop, Serve(shared), asio::detached);
   }
 }
 
@@ -165,7 +166,7 @@
     std::shared_ptr<tcp::socket> socket) {
   const auto self = shared_from_this();
   boost::beast::flat_buffer buffer;
-  std::string held_back;  // second answer to the request before
+  std::string delayed;  // second response to the previous request
   for (;;) {
     http::request<http::string_body> message;
     const auto [failure, size] =
@@ -185,14 +186,14 @@
     }
     const named_request own =
         script.names_own ? named_request::kRepeated : named_request::kNone;
-    std::string bytes = std::exchange(held_back, "");
+    std::string bytes = std::exchange(delayed, "");
     if (script.sends_interim) bytes += kInterim;
     bytes +=
         Encode(input, answer(input, count, false), own, answer_form::kWhole);
     const std::string second =
         Encode(input, answer(input, count, true), script.named, script.form);
-    if (script.moment == second_moment::kBehind) bytes += second;
-    if (script.moment == second_moment::kBeforeNext) held_back = second;
+    if (script.moment == second_moment::kImmediate) bytes += second;
+    if (script.moment == second_moment::kBeforeNextResponse) delayed = second;
     co_await asio::async_write(*socket, asio::buffer(bytes), kNoThrow);
     if (script.moment == second_moment::kLate) {
       asio::co_spawn(loop, WriteLate(socket, second, script.delay),
--- a/tests/support/stuttering_server.h
+++ b/tests/support/stuttering_server.h
@@ -1,7 +1,8 @@
 #ifndef HICKORYWOOD_TESTS_SUPPORT_STUTTERING_SERVER_H_
 #define HICKORYWOOD_TESTS_SUPPORT_STUTTERING_SERVER_H_
 
-// A server on plain sockets that answers each request twice, as scripted.
+// A server on plain sockets that sends two responses to each request, according
+// to a script.
 
 #include <boost/asio/io_context.hpp>
 #include <chrono>
@@ -15,36 +16,37 @@
 
 namespace hickorywood::net {
 
-// The request that a second answer names.
+// The request id in the second response.
 enum class named_request { kNone, kRepeated, kOther };
 
 enum class answer_form {
   kWhole,
-  kCut,       // ends before the length that it names
-  kUnframed,  // names no length and leaves the connection open
+  kCut,            // body is shorter than its Content-Length
+  kWithoutLength,  // no Content-Length, and the connection stays open
 };
 
 enum class second_moment {
   kNever,
-  kBehind,      // in one piece with the first answer
-  kLate,        // `delay` after it
-  kBeforeNext,  // before the answer to the next request of the connection
+  kImmediate,           // in the same write as the first response
+  kLate,                // `delay` after the first response
+  kBeforeNextResponse,  // before the response to the next request of the
+                        // connection
 };
 
 struct stutter {
   named_request named = named_request::kRepeated;
   answer_form form = answer_form::kWhole;
-  second_moment moment = second_moment::kBehind;
+  second_moment moment = second_moment::kImmediate;
   std::chrono::milliseconds delay{0};
-  // Time that a request takes; the first one takes none.
+  // Processing time of a request. The first request takes no time.
   std::chrono::milliseconds work{0};
-  bool names_own = true;       // the first answers name their requests
-  bool sends_interim = false;  // answers that tell of a later one come first
-  int failures = 0;            // so many requests are answered 500 first
+  bool names_own = true;       // first responses contain the request id
+  bool sends_interim = false;  // sends interim 1xx responses first
+  int failures = 0;            // number of initial requests that get status 500
 };
 std::ostream& operator<<(std::ostream& out, const stutter& input);
 
-// All ways of a second answer: whom it names, its form, when it comes.
+// All combinations of request id, form and time of a second response.
 std::vector<stutter> AllStutters();
 
 struct scripted_answer {
@@ -54,11 +56,11 @@
 
 class stuttering_server {
  public:
-  // The bytes of the body that answers the request number `count`, from 1, as
-  // the first or the second answer.
+  // Returns the body of the first or second response to the request with the
+  // number `count`, starting at 1.
   using answer_maker = std::function<std::string(const request& input,
                                                  int count, bool is_second)>;
-  // The same with a status, and the script for each request.
+  // Like answer_maker, with a status, and with a script for each request.
   using scripted_maker = std::function<scripted_answer(
       const request& input, int count, bool is_second)>;
   using script_maker = std::function<stutter(const request& input)>;
@@ -67,13 +69,13 @@
                     answer_maker answer);
   stuttering_server(boost::asio::io_context& loop, script_maker scripts,
                     scripted_maker answer);
-  // Closes all connections too.
+  // Closes all connections.
   ~stuttering_server();
   stuttering_server(const stuttering_server&) = delete;
   stuttering_server& operator=(const stuttering_server&) = delete;
 
   std::string Address() const;
-  // Requests that arrived, and connections.
+  // Number of received requests and of accepted connections.
   int Requests() const;
   int Connections() const;
 
--- a/tests/support/trainer.cc
+++ b/tests/support/trainer.cc
@@ -68,7 +68,7 @@
   for (const auto& [slot, times] : seen) EXPECT_EQ(times, 1) << "slot " << slot;
 }
 
-void ExpectWholeLabels(const pull_outcome& outcome) {
+void ExpectCompleteLabels(const pull_outcome& outcome) {
   for (const json& sample : outcome.samples) {
     int64_t next = 0;
     for (const json& range : sample["generated"]["ranges"]) {
--- a/tests/support/web.h
+++ b/tests/support/web.h
@@ -11,7 +11,7 @@
 
 namespace hickorywood::testing {
 
-// Requests of a test, over one shared client.
+// Sends the requests of a test with one shared HTTP client.
 class web {
  public:
   web() { client_.Start(); }
@@ -20,7 +20,7 @@
   std::future<transport::http_response> SendLater(
       transport::http_request request);
 
-  // A JSON request to "IP:PORT".
+  // Sends a POST request with a JSON body to "IP:PORT".
   transport::http_response Post(
       const std::string& address, const std::string& path,
       const nlohmann::json& body,
@@ -33,14 +33,14 @@
       const std::string& address, const std::string& path,
       const std::vector<transport::http_header>& headers = {});
 
-  // The JSON body of a GET; null when there is no good answer.
+  // Returns the JSON body of a GET; null if the request failed.
   nlohmann::json GetJson(const std::string& address, const std::string& path);
 
  private:
   transport::http_client client_;
 };
 
-// The body as JSON; null when it is none.
+// Returns the body as JSON; null if it is not JSON.
 nlohmann::json BodyOf(const transport::http_response& response);
 
 }  // namespace hickorywood::testing
