--- a/tests/integration/access_test.cc
+++ b/tests/integration/access_test.cc
@@ -1,5 +1,5 @@
-// Tokens, malformed and oversized input: a clear answer, nothing changed, the
-// process alive.
+// Access tokens and malformed or oversized input: the request is rejected with
+// a clear response, nothing changes, and the process stays alive.
 
 #include <gtest/gtest.h>
 
@@ -13,7 +13,7 @@
 
 using nlohmann::json;
 
-// A field of a wrong type for each of the routes.
+// For each route, a body with a field of a wrong type.
 constexpr char kWrongTypes[] =
     R"({"max_tokens":"many","version":"new","cursor":-1,"seq":"x",)"
     R"("based_on":"","prompts":7})";
@@ -21,7 +21,7 @@
     R"({"jsonrpc":"2.0","id":1,"method":"consensus.step",)"
     R"("params":{"payload":"{\"kind\":"}})";
 
-// Wrong and missing tokens get 403 and 401, and change nothing.
+// Requests with a wrong or missing token get 403 or 401 and change nothing.
 TEST(AccessTest, TokensAreAskedFor) {
   const std::string folder = MakeTemporaryFolder();
   for (const char* kind : {"operators", "endpoints", "trainers", "peers"}) {
@@ -74,7 +74,7 @@
   EXPECT_EQ(client.Get(callers, "/healthz").status, 200);
 }
 
-// Whatever comes in, the process lives and answers 4xx.
+// Any input is answered with 4xx and never crashes the process.
 TEST(AccessTest, MalformedAndOversizedInput) {
   cluster fleet({{"n1"}}, "limits: {request_bytes: 65536}\n");
   ASSERT_TRUE(fleet.Start(SmallConfiguration()));
@@ -116,9 +116,9 @@
   EXPECT_TRUE(fleet.IsReady("n1"));
 }
 
-// An instance has started and has no configuration yet, and the balancer sends
-// work all the same. Nobody is told that a pool or service does not exist: each
-// caller hears "not run" and when to come back.
+// A load balancer sends requests to an instance that has started and has no
+// configuration yet. Callers must not be told that the pool or service does not
+// exist: each response states that the request was not run and when to retry.
 TEST(AccessTest, InstanceWithoutConfigurationSendsCallersAway) {
   cluster fleet({{"n1"}});
   fleet.StartNode("n1");
--- a/tests/integration/configuration_test.cc
+++ b/tests/integration/configuration_test.cc
@@ -1,5 +1,5 @@
-// Promise 9: an accepted configuration is in force everywhere within seconds
-// and never reverts.
+// Promise 9: an accepted configuration is in force at all instances within
+// seconds and is never reverted.
 
 #include <gtest/gtest.h>
 #include <signal.h>
@@ -17,7 +17,7 @@
 
 using nlohmann::json;
 
-// Tells the revisions apart by the time-out of the service.
+// Returns a configuration that is identified by the timeout of its service.
 std::string Variant(int number) {
   std::string text = SmallConfiguration();
   const std::string from = "timeout: 4s";
@@ -31,9 +31,9 @@
           {"s2", "south", "y2", false}, {"s3", "south", "y3", false}};
 }
 
-// Two operators submit changes based on the same revision. One is accepted; the
-// other is told "conflict" with the winner's change id, and its change is
-// nowhere.
+// Two operators submit changes based on the same revision. One change is
+// accepted. The other gets "conflict" with the change id of the accepted one
+// and is applied nowhere.
 TEST(ConfigurationTest, EqualNumbersRaceAndOneWins) {
   cluster fleet(ThreeNodes());
   ASSERT_TRUE(fleet.Start(SmallConfiguration()));
@@ -58,8 +58,8 @@
   }
 }
 
-// The operator's answer was lost and the change is sent again, also after
-// others: the same answer, and it is not applied a second time.
+// The response to an operator is lost and the same change is submitted again,
+// also after other changes: it gets the same response and is not applied twice.
 TEST(ConfigurationTest, ResentChangeGetsTheSameAnswer) {
   cluster fleet(ThreeNodes());
   ASSERT_TRUE(fleet.Start(SmallConfiguration()));
@@ -74,7 +74,8 @@
   EXPECT_EQ(fleet.Revision("n1"), 3U);
 }
 
-// All findings come together with their places, and nothing changes.
+// A faulty file is rejected with all findings and their positions, and nothing
+// changes.
 TEST(ConfigurationTest, FaultyFileIsRefusedWithAllFindings) {
   cluster fleet(ThreeNodes());
   ASSERT_TRUE(fleet.Start(SmallConfiguration()));
@@ -90,8 +91,8 @@
   EXPECT_EQ(fleet.Revision("n2"), 1U);
 }
 
-// When the operator reads "accepted", every instance has the change in force:
-// asked right then, each of them shows the new revision.
+// Once the operator receives "accepted", the change is in force at every
+// instance: each status request shows the new revision.
 TEST(ConfigurationTest, AcceptedMeansInForceAtEveryInstance) {
   cluster fleet(TwoSites());
   ASSERT_TRUE(fleet.Start(SmallConfiguration()));
@@ -106,9 +107,9 @@
   }
 }
 
-// A leader is cut off from the others and goes on believing in itself. Another
-// one is elected and accepts changes. The old one accepts none, and when the
-// cut heals nothing of it comes back.
+// A leader is cut off from the other instances and still considers itself the
+// leader. A new leader is elected and accepts changes. The old leader accepts
+// none, and none of its state returns when the connection is restored.
 TEST(ConfigurationTest, IsolatedLeaderAcceptsNothingAndRevertsNothing) {
   cluster fleet(ThreeNodes());
   ASSERT_TRUE(fleet.Start(SmallConfiguration()));
@@ -123,8 +124,8 @@
       fleet.Submit(new_leader, "base", Variant(8), "from-new", 1);
   EXPECT_EQ(at_new["http_status"], 200) << at_new;
   EXPECT_NE(at_old.get()["http_status"], 200);
-  // Cut off alone, it also stops serving: it can't know that its configuration
-  // is still in force.
+  // An isolated instance also stops serving, because it can't verify that its
+  // configuration is still in force.
   EXPECT_FALSE(fleet.IsReady(old_leader));
   fleet.Isolate(old_leader, link_fault::kNone);
   EXPECT_TRUE(WaitUntil([&] {
@@ -135,9 +136,9 @@
   EXPECT_EQ(shown["base"]["text"], Variant(8));
 }
 
-// An instance is down while hundreds of changes pass it by. When it is ready
-// again it has the latest one, and on its way there it never shows an older one
-// after a newer one.
+// An instance is down during hundreds of changes. When it is ready again it has
+// the latest one. While catching up, it never reports an older revision after a
+// newer one.
 TEST(ConfigurationTest, RestartAfterHundredsOfChanges) {
   cluster fleet(ThreeNodes(), "consensus: {snapshot_every: 60}\n");
   ASSERT_TRUE(fleet.Start(SmallConfiguration()));
@@ -160,9 +161,9 @@
   EXPECT_EQ(fleet.Revision(follower), static_cast<uint64_t>(kChanges + 1));
 }
 
-// An instance freezes; changes are accepted without it once its lease has run
-// out. When it wakes up it serves nothing under the old revision: its first
-// answers are refusals or already new.
+// An instance freezes, and changes are accepted without it after its lease has
+// expired. After it resumes, it serves nothing under the old revision: its
+// first responses are rejections or use the new revision.
 TEST(ConfigurationTest, FrozenInstanceWakesUpWithoutServingTheOldRevision) {
   cluster fleet(ThreeNodes());
   ASSERT_TRUE(fleet.Start(SmallConfiguration()));
@@ -177,8 +178,8 @@
     return answer["http_status"] == 200;
   })) << answer;
   fleet.Node(frozen).Signal(SIGCONT);
-  // The service of the old revision is gone: it must be refused with 503 (no
-  // lease) or 404 (new).
+  // The service of the old revision was removed: the call must be rejected with
+  // 503 (no lease) or 404 (new revision).
   const auto call =
       fleet.Web().Get(fleet.Callers(frozen), "/v1/services/bookings/x");
   EXPECT_TRUE(call.status == 503 || call.status == 404)
@@ -188,10 +189,10 @@
       [&] { return fleet.IsReady(frozen) && fleet.Revision(frozen) == 2; }));
 }
 
-// A whole site can't reach the control instances for a while. It goes on
-// serving its last revision, marked, and a change is held with the site's name;
-// after an operator has excluded the site the change is accepted; when the site
-// is back it catches up.
+// A site temporarily can't reach the control instances. It continues to serve
+// its last revision and reports that it is cut off. Changes are rejected with
+// the name of the site until an operator excludes it. After the connection is
+// restored, the site catches up.
 TEST(ConfigurationTest, CutOffSiteServesOnAndChangesAreHeld) {
   cluster fleet(TwoSites());
   ASSERT_TRUE(fleet.Start(SmallConfiguration()));
@@ -239,10 +240,10 @@
       [&] { return fleet.Revision("s1") == 2 && fleet.IsReady("s1"); }));
 }
 
-// A site is cut off and a change is submitted in the same moment, while the
-// leader still counts the site's leases as live. The change is committed, but
-// the site serves the older revision: it must not be called accepted until the
-// site is back.
+// A site is cut off at the moment when a change is submitted, while the leader
+// still counts the site's leases as valid. The change is committed but the site
+// serves the older revision, so the change must not be reported as accepted
+// until the site is reachable again.
 TEST(ConfigurationTest, SiteCutOffRightBeforeAChange) {
   cluster fleet(TwoSites());
   ASSERT_TRUE(fleet.Start(SmallConfiguration()));
--- a/tests/integration/crashing_request_test.cc
+++ b/tests/integration/crashing_request_test.cc
@@ -1,4 +1,4 @@
-// Requests that take down every endpoint that runs them, sent again and again
+// Requests that crash every endpoint that runs them and are sent repeatedly,
 // under new ids and through other entries.
 
 #include <gtest/gtest.h>
@@ -11,10 +11,10 @@
 namespace hickorywood::testing {
 namespace {
 
-// Endpoints that a request may end before it is known for what it does, and
-// times that it may be sent after that.
-constexpr int kEndsAllowed = 3;
-constexpr int kSendsAllowed = 3;
+// Number of crashes after which a request is quarantined, and the limit of
+// further crashes by requests that were already sent.
+constexpr int kCrashesBeforeQuarantine = 3;
+constexpr int kMaxFurtherCrashes = 3;
 constexpr int kRounds = 5;
 
 // Starts a deployment with three plain endpoints.
@@ -24,10 +24,10 @@
   fleet.Endpoints().CrashOnBody(deployment::kCrashBody);
 }
 
-// Sends the crashing request as a client does that tries once more elsewhere,
-// then waits until all endpoints are back and serve others.
+// Sends the crashing request like a client that retries once at another entry,
+// then waits until all endpoints have restarted and serve other requests.
 void SendAndWait(deployment& fleet, const std::string& round) {
-  const size_t endpoints = 6;  // three plain ones and three engines
+  const size_t endpoints = 6;  // three plain endpoints and three engines
   fleet.PlainWithBody("e1", "crash-a-" + round, deployment::kCrashBody);
   fleet.PlainWithBody("e2", "crash-b-" + round, deployment::kCrashBody);
   ASSERT_TRUE(
@@ -39,32 +39,34 @@
   }
 }
 
-// Seen: one request ended twelve endpoints, all three of its service four times
-// over; meanwhile everyone else heard that no endpoint is there. Its client
-// sent it again under a new id and at another entry, and the endpoints came
-// back as new ones. Cause: attempts were counted by request id at one entry, so
-// nothing remembered what a request had done. Proved by HK5007, which names
-// requests by content: one digest with all the ends.
+// One request crashed twelve endpoints, all three endpoints of its service four
+// times each; meanwhile all other callers were told that no endpoint is
+// available. The client sent the request again under a new id and at another
+// entry, and the endpoints restarted as new incarnations. Cause: attempts were
+// counted by request id at one entry, so no record of the crashes of a request
+// was shared. Evidence: event HK5007 identifies requests by content, and one
+// digest had all the crashes.
 TEST(CrashingRequestTest, IsNotSentOnAfterItHasEndedThreeEndpoints) {
   deployment fleet;
   StartWithThreeEndpoints(fleet);
   for (int round = 0; round < kRounds; ++round) {
     SendAndWait(fleet, std::to_string(round));
   }
-  EXPECT_GE(fleet.Endpoints().Crashes(), kEndsAllowed);
-  EXPECT_LE(fleet.Endpoints().Crashes(), kEndsAllowed + kSendsAllowed);
+  EXPECT_GE(fleet.Endpoints().Crashes(), kCrashesBeforeQuarantine);
+  EXPECT_LE(fleet.Endpoints().Crashes(),
+            kCrashesBeforeQuarantine + kMaxFurtherCrashes);
   for (const std::string entry : {"e1", "e2"}) {
-    const auto refusal =
+    const auto rejection =
         fleet.PlainWithBody(entry, "again-" + entry, deployment::kCrashBody);
-    EXPECT_EQ(refusal.status, 429);
-    EXPECT_NE(refusal.body.find("held back"), std::string::npos);
-    EXPECT_GT(std::stod(refusal.Header("Retry-After")), 0);
+    EXPECT_EQ(rejection.status, 429);
+    EXPECT_NE(rejection.body.find("held back"), std::string::npos);
+    EXPECT_GT(std::stod(rejection.Header("Retry-After")), 0);
   }
 }
 
 // The control instances are killed one after the other and all at once, and an
-// entry is started anew: what was learned of the request is not lost with the
-// leader that gathered it.
+// entry is restarted. The records of the crashes must not be lost with the
+// leader that collected them.
 TEST(CrashingRequestTest, StaysHeldBackWhenLeadersAndEntriesAreLost) {
   deployment fleet;
   StartWithThreeEndpoints(fleet);
@@ -72,7 +74,7 @@
     SendAndWait(fleet, std::to_string(round));
   }
   const int crashes = fleet.Endpoints().Crashes();
-  const auto expect_held_back = [&](const std::string& when) {
+  const auto expect_rejected = [&](const std::string& when) {
     for (const std::string entry : {"e1", "e2"}) {
       EXPECT_EQ(fleet.PlainWithBody(entry, entry + when, deployment::kCrashBody)
                     .status,
@@ -84,41 +86,40 @@
   for (const std::string& control : fleet.Controls()) {
     fleet.KillNode(control);
     ASSERT_TRUE(fleet.PutConfiguration(++version, true));
-    expect_held_back("without-" + control);
+    expect_rejected("without-" + control);
     fleet.StartNode(control);
   }
   fleet.KillNode("e1");
   fleet.StartNode("e1");
   ASSERT_TRUE(WaitUntil([&] { return fleet.IsReady("e1"); }));
-  expect_held_back("after-restart");
+  expect_rejected("after-restart");
   for (const std::string& control : fleet.Controls()) fleet.KillNode(control);
-  expect_held_back("without-control");
+  expect_rejected("without-control");
   for (const std::string& control : fleet.Controls()) fleet.StartNode(control);
   ASSERT_TRUE(WaitUntil([&] { return fleet.VersionAt("c1") == version; }));
-  expect_held_back("after-control");
+  expect_rejected("after-control");
   EXPECT_EQ(fleet.Endpoints().Crashes(), crashes);
 }
 
-// The endpoints' owners have mended what the request did, and an operator lifts
-// its quarantine: it is served at every entry.
+// The cause of the crashes is fixed in the endpoints and an operator lifts the
+// quarantine: the request is served at every entry.
 TEST(CrashingRequestTest, IsServedAfterAnOperatorLiftedIt) {
   deployment fleet;
   StartWithThreeEndpoints(fleet);
   for (int round = 0; round < kRounds; ++round) {
     SendAndWait(fleet, std::to_string(round));
   }
-  const auto held = fleet.Quarantine("c2");
-  ASSERT_EQ(held.size(), 1U);
-  EXPECT_EQ(held[0]["customer"], "h");
-  EXPECT_TRUE(held[0]["is_quarantined"]);
+  const auto quarantined = fleet.Quarantine("c2");
+  ASSERT_EQ(quarantined.size(), 1U);
+  EXPECT_EQ(quarantined[0]["customer"], "h");
+  EXPECT_TRUE(quarantined[0]["is_quarantined"]);
   fleet.Endpoints().CrashOnBody("");
   EXPECT_FALSE(fleet.Lift("c3", "another"));
-  ASSERT_TRUE(fleet.Lift("c3", held[0]["digest"]));
+  ASSERT_TRUE(fleet.Lift("c3", quarantined[0]["digest"]));
   for (const std::string entry : {"e1", "e2"}) {
     EXPECT_TRUE(WaitUntil([&] {
       return fleet
-                 .PlainWithBody(entry, "mended-" + entry,
-                                deployment::kCrashBody)
+                 .PlainWithBody(entry, "fixed-" + entry, deployment::kCrashBody)
                  .status == 200;
     }));
   }
@@ -130,15 +131,16 @@
   ASSERT_TRUE(WaitUntil([&] { return fleet.VersionAt("c1") == 1; }));
 }
 
-// Guards against a quarantine that comes back: an entry stood still while it
-// was lifted, and tells the next leader of the old ends.
+// Guards against a quarantine that returns after an operator lifted it: an
+// entry was frozen at that time and reports the old crashes to the next leader.
 TEST(CrashingRequestTest, LiftOutlivesAnEntryThatDidNotHearOfIt) {
   deployment fleet;
   StartWithThreeEndpoints(fleet);
   for (int round = 0; round < kRounds; ++round) {
     SendAndWait(fleet, std::to_string(round));
   }
-  // No answer of a leader waits for the entry that stands still.
+  // Without running leaders, no response is pending for the entry when it is
+  // frozen.
   for (const std::string& control : fleet.Controls()) fleet.KillNode(control);
   fleet.Node("e2").Signal(SIGSTOP);
   RestartControl(fleet);
@@ -161,9 +163,9 @@
   EXPECT_EQ(fleet.Quarantine("c1").size(), 0U);
 }
 
-// A task of a step takes down each engine that runs it, once it has sent
-// `events` events; the step's other tasks get their results.
-void RunStepsBesideACrashingTask(int events) {
+// A task of a step crashes each engine that runs it after `events` events; the
+// other tasks of the step get their results.
+void RunStepsWithCrashingTask(int events) {
   constexpr int kTasks = 6;
   deployment fleet;
   ASSERT_TRUE(fleet.Start());
@@ -172,7 +174,7 @@
   ASSERT_TRUE(fleet.Submit("e1", "step", kTasks, false, 0));
   EXPECT_EQ(fleet.WaitForResults("e2", "step", kTasks - 1).size(),
             static_cast<size_t>(kTasks - 1));
-  // Steps after it find engines that serve them.
+  // Later steps find engines that serve them.
   for (int round = 0; round < kRounds; ++round) {
     const std::string step = "after-" + std::to_string(round);
     ASSERT_TRUE(fleet.Submit("e1", step, kTasks));
@@ -180,36 +182,39 @@
               static_cast<size_t>(kTasks));
     ASSERT_TRUE(WaitUntil([&] { return fleet.Endpoints().Running() == 5; }));
   }
-  EXPECT_LE(fleet.Endpoints().Crashes(), kEndsAllowed + kSendsAllowed);
+  EXPECT_LE(fleet.Endpoints().Crashes(),
+            kCrashesBeforeQuarantine + kMaxFurtherCrashes);
 }
 
-// A task of a step takes down each engine that begins it; the step's other
-// tasks must get their results from engines that stay up.
+// A task of a step crashes each engine that starts it; the other tasks of the
+// step must get their results from the remaining engines.
 TEST(CrashingRequestTest, TaskIsHeldBackAndTheOthersComplete) {
-  RunStepsBesideACrashingTask(0);
+  RunStepsWithCrashingTask(0);
 }
 
-// Guards against a task without a bound that gains an event before each end.
+// Guards against a task that is never quarantined because it produces an event
+// before each crash.
 TEST(CrashingRequestTest, TaskThatGainsTextBeforeEachEndIsHeldBack) {
-  RunStepsBesideACrashingTask(1);
+  RunStepsWithCrashingTask(1);
 }
 
-// Callers of the crashing request leave before each end. `endpoints`: all that
-// run.
-void LeaveBeforeEachEnd(deployment& fleet, const std::string& path,
-                        std::chrono::milliseconds patience, size_t endpoints) {
+// Sends crashing requests whose callers disconnect before each crash.
+// `endpoints` is the number of all endpoints.
+void DisconnectBeforeEachCrash(deployment& fleet, const std::string& path,
+                               std::chrono::milliseconds timeout,
+                               size_t endpoints) {
   for (int round = 0; round < 2 * kRounds; ++round) {
     const std::string id = std::to_string(round);
     const std::string entry = round % 2 == 0 ? "e1" : "e2";
     const int crashes = fleet.Endpoints().Crashes();
     ASSERT_TRUE(WaitUntil([&] {
       const auto answer = fleet.SendWithTimeout(
-          entry, path, "crash-" + id, deployment::kCrashBody, patience);
+          entry, path, "crash-" + id, deployment::kCrashBody, timeout);
       return answer.status == 429 || fleet.Endpoints().Crashes() > crashes;
     }));
     ASSERT_TRUE(
         WaitUntil([&] { return fleet.Endpoints().Running() == endpoints; }));
-    // Both entries know the next starts.
+    // Waits until both entries route to the new incarnations.
     ASSERT_TRUE(WaitUntil([&] {
       return fleet.Plain("e1", "a" + id).status == 200 &&
              fleet.Plain("e2", "b" + id).status == 200 &&
@@ -217,28 +222,32 @@
              fleet.Stream("e2", "d" + id, "other").status == 200;
     }));
   }
-  EXPECT_GE(fleet.Endpoints().Crashes(), kEndsAllowed);
-  EXPECT_LE(fleet.Endpoints().Crashes(), kEndsAllowed + kSendsAllowed);
+  EXPECT_GE(fleet.Endpoints().Crashes(), kCrashesBeforeQuarantine);
+  EXPECT_LE(fleet.Endpoints().Crashes(),
+            kCrashesBeforeQuarantine + kMaxFurtherCrashes);
 }
 
-// Guards against a request without a bound whose callers leave before each end.
+// Guards against a request that is never quarantined because its callers
+// disconnect before each crash.
 TEST(CrashingRequestTest, IsHeldBackThoughItsCallersLeaveBeforeEachEnd) {
   deployment fleet;
   StartWithThreeEndpoints(fleet);
-  LeaveBeforeEachEnd(fleet, "/p/x", std::chrono::milliseconds(20), 6);
+  DisconnectBeforeEachCrash(fleet, "/p/x", std::chrono::milliseconds(20), 6);
 }
 
-// Guards against the same with callers that have got the first event.
+// Guards against the same for a stream whose callers have received the first
+// event.
 TEST(CrashingRequestTest, StreamIsHeldBackThoughItsCallersLeaveBeforeEachEnd) {
   deployment fleet;
   ASSERT_TRUE(fleet.Start());
   fleet.Endpoints().CrashOnBody(deployment::kCrashBody);
   fleet.Endpoints().CrashAfterEvents(4);
   fleet.Endpoints().SetEventTime(std::chrono::milliseconds(10));
-  LeaveBeforeEachEnd(fleet, "/q/x", std::chrono::milliseconds(20), 5);
+  DisconnectBeforeEachCrash(fleet, "/q/x", std::chrono::milliseconds(20), 5);
 }
 
-// Guards against a stream without a bound whose callers get its first events.
+// Guards against a stream that is never quarantined because its callers receive
+// its first events.
 TEST(CrashingRequestTest, StreamThatBeginsBeforeEachEndIsHeldBack) {
   constexpr size_t kEndpoints = 5;
   deployment fleet;
@@ -256,8 +265,9 @@
       }));
     }
   }
-  EXPECT_GE(fleet.Endpoints().Crashes(), kEndsAllowed);
-  EXPECT_LE(fleet.Endpoints().Crashes(), kEndsAllowed + kSendsAllowed);
+  EXPECT_GE(fleet.Endpoints().Crashes(), kCrashesBeforeQuarantine);
+  EXPECT_LE(fleet.Endpoints().Crashes(),
+            kCrashesBeforeQuarantine + kMaxFurtherCrashes);
   for (const std::string entry : {"e1", "e2"}) {
     EXPECT_EQ(
         fleet.Stream(entry, "again-" + entry, deployment::kCrashBody).status,
--- a/tests/integration/deployment_test.cc
+++ b/tests/integration/deployment_test.cc
@@ -1,5 +1,5 @@
-// A whole deployment of real processes that find each other by seeds, through
-// the losses that it must bear.
+// A complete deployment of real processes that discover each other through
+// seeds, under the failures that it must tolerate.
 
 #include "support/deployment.h"
 
@@ -15,14 +15,15 @@
 
 using nlohmann::json;
 
-// Every task once, complete, with its whole output and the version that made
-// it.
-void ExpectWhole(const json& results, const std::string& step, int tasks) {
+// Expects each task exactly once, completed, with its complete output and the
+// weights version that produced it.
+void ExpectCompleteResults(const json& results, const std::string& step,
+                           int tasks) {
   ASSERT_EQ(results.size(), static_cast<size_t>(tasks));
   std::set<std::string> seen;
   for (const json& result : results) {
     const std::string id = result["id"];
-    EXPECT_TRUE(seen.insert(id).second) << id << " stands twice";
+    EXPECT_TRUE(seen.insert(id).second) << id << " is listed twice";
     EXPECT_EQ(result["state"], "completed") << id;
     EXPECT_EQ(result["output"], stand_in_endpoints::OutputOf(id));
     EXPECT_EQ(result["versions"], json({1})) << id;
@@ -33,8 +34,8 @@
 }
 
 // A trainer submits a step at one entry and reads it at another one. Meanwhile
-// each store is killed and started again, the data leader among them. No result
-// is missing, double or changed, and both entries list the same positions.
+// each store is killed and restarted, including the data leader. No result is
+// missing, duplicated or changed, and both entries list the same positions.
 TEST(DeploymentTest, StepsOutliveEveryStore) {
   deployment fleet;
   ASSERT_TRUE(fleet.Start());
@@ -44,18 +45,20 @@
   for (const std::string& store : fleet.Stores()) {
     fleet.KillNode(store);
     fleet.StartNode(store);
-    // The next one only once this one can be missed.
+    // The next store is killed only when this one is not needed for a majority
+    // any more.
     ASSERT_TRUE(fleet.Submit("e2", "after-" + store, 1));
-    ExpectWhole(fleet.WaitForResults("e1", "after-" + store, 1),
-                "after-" + store, 1);
+    ExpectCompleteResults(fleet.WaitForResults("e1", "after-" + store, 1),
+                          "after-" + store, 1);
   }
   const json first = fleet.WaitForResults("e1", "step-a", kTasks);
-  ExpectWhole(first, "step-a", kTasks);
+  ExpectCompleteResults(first, "step-a", kTasks);
   EXPECT_EQ(fleet.WaitForResults("e2", "step-a", kTasks), first);
 }
 
-// Whether the log of some store says that it gave tasks to others.
-bool HasGivenTasks(const deployment& fleet) {
+// Returns whether the log of a store shows that it assigned a task to another
+// store.
+bool HasAssignedTasks(const deployment& fleet) {
   for (const std::string& store : fleet.Stores()) {
     std::ifstream log(fleet.LogOf(store));
     for (std::string line; std::getline(log, line);) {
@@ -65,10 +68,10 @@
   return false;
 }
 
-// More tasks run at once than the leader takes on itself, so that the other
-// stores run them for it. Each store is frozen in turn, then killed, the leader
-// among them, and comes back. What a store had under way is run by another one:
-// each task is listed once, whole, and both entries agree.
+// More tasks run at once than the leader runs itself, so the other stores run
+// them too. Each store, including the leader, is frozen, then killed and
+// restarted. Other stores run its unfinished tasks: each task is listed once
+// and complete, and both entries agree.
 TEST(DeploymentTest, TasksOutliveTheStoresThatRunThem) {
   constexpr int kEngines = 24;
   constexpr int kTasks = 180;
@@ -76,11 +79,11 @@
   for (int i = 0; i < kEngines; ++i) fleet.Endpoints().Start("engines");
   ASSERT_TRUE(fleet.Start());
   fleet.Endpoints().SetEventTime(std::chrono::milliseconds(100));
-  // By the end of a step each store has asked the leader for tasks.
+  // When a step has finished, each store has polled the leader for tasks.
   ASSERT_TRUE(fleet.Submit("e1", "first", 1));
-  ExpectWhole(fleet.WaitForResults("e2", "first", 1), "first", 1);
+  ExpectCompleteResults(fleet.WaitForResults("e2", "first", 1), "first", 1);
   ASSERT_TRUE(fleet.Submit("e1", "wide", kTasks));
-  ASSERT_TRUE(WaitUntil([&] { return HasGivenTasks(fleet); }));
+  ASSERT_TRUE(WaitUntil([&] { return HasAssignedTasks(fleet); }));
   for (const std::string& store : fleet.Stores()) {
     fleet.Node(store).Signal(SIGSTOP);
     ASSERT_TRUE(fleet.Submit("e2", "frozen-" + store, 1));
@@ -88,17 +91,18 @@
     fleet.KillNode(store);
     fleet.StartNode(store);
     ASSERT_TRUE(fleet.Submit("e2", "after-" + store, 1));
-    ExpectWhole(fleet.WaitForResults("e1", "after-" + store, 1),
-                "after-" + store, 1);
+    ExpectCompleteResults(fleet.WaitForResults("e1", "after-" + store, 1),
+                          "after-" + store, 1);
   }
   const json first = fleet.WaitForResults("e1", "wide", kTasks);
-  ExpectWhole(first, "wide", kTasks);
+  ExpectCompleteResults(first, "wide", kTasks);
   EXPECT_EQ(fleet.WaitForResults("e2", "wide", kTasks), first);
 }
 
-// A store loses its disk right after a step was accepted and comes back empty.
-// The step and its results are there. Once it votes again, which is what one
-// loss at a time allows, the next store loses its disk.
+// A store loses its disk right after a step was accepted and restarts empty.
+// The step and its results are available. The next store loses its disk only
+// after the first one is a voter again, because the system tolerates one loss
+// at a time.
 TEST(DeploymentTest, AcceptedStepOutlivesALostDisk) {
   deployment fleet;
   ASSERT_TRUE(fleet.Start());
@@ -109,22 +113,22 @@
     fleet.KillNode(store);
     fleet.LoseDisk(store);
     fleet.StartNode(store);
-    ExpectWhole(fleet.WaitForResults("e2", step, 4), step, 4);
+    ExpectCompleteResults(fleet.WaitForResults("e2", step, 4), step, 4);
     ASSERT_TRUE(WaitUntil([&] {
       return fleet.CountVoterIdentities(store) == 2;
     })) << store;
   }
   for (int i = 0; i < round; ++i) {
     const std::string step = "step-" + std::to_string(i);
-    ExpectWhole(fleet.WaitForResults("e1", step, 4), step, 4);
+    ExpectCompleteResults(fleet.WaitForResults("e1", step, 4), step, 4);
   }
 }
 
-// Power fails at all instances at the same moment and one of them loses its
-// disk, a store or a control instance, in the middle of a step and after one
-// has ended. The ended step and the running one can be read, the running one
-// goes on, and the configuration is the one that was accepted. Once the wiped
-// instance votes again, the next one loses its disk in the same way.
+// All instances lose power at the same moment and one of them, a store or a
+// control instance, loses its disk, while one step is running and another one
+// has ended. Both steps can be read, the running one continues, and the
+// accepted configuration is in force. Once the wiped instance votes again, the
+// next one loses its disk in the same way.
 TEST(DeploymentTest, PowerCutWithALostDiskLosesNothing) {
   deployment fleet;
   ASSERT_TRUE(fleet.Start());
@@ -133,13 +137,13 @@
     const std::string ended = "ended-" + wiped;
     const std::string running = "running-" + wiped;
     ASSERT_TRUE(fleet.Submit("e1", ended, 4));
-    ExpectWhole(fleet.WaitForResults("e2", ended, 4), ended, 4);
+    ExpectCompleteResults(fleet.WaitForResults("e2", ended, 4), ended, 4);
     ASSERT_TRUE(fleet.End("e1", ended));
     ASSERT_TRUE(fleet.PutConfiguration(++version, true));
     ASSERT_TRUE(fleet.Submit("e1", running, 4));
     fleet.CutPower(wiped);
-    ExpectWhole(fleet.WaitForResults("e2", ended, 4), ended, 4);
-    ExpectWhole(fleet.WaitForResults("e1", running, 4), running, 4);
+    ExpectCompleteResults(fleet.WaitForResults("e2", ended, 4), ended, 4);
+    ExpectCompleteResults(fleet.WaitForResults("e1", running, 4), running, 4);
     EXPECT_TRUE(WaitUntil([&] { return fleet.VersionAt("c3") == version; }));
     ASSERT_TRUE(WaitUntil([&] {
       return fleet.CountVoterIdentities(wiped) == 2;
@@ -147,16 +151,17 @@
   }
 }
 
-// Seen: steps that were accepted and ended can't be read after a power cut,
-// though a majority of the stores holds them. A control instance is gone for
-// good, another one takes its place at another address, and later a third one
-// loses its disk. The one that is gone still counted, so the control group had
-// no quorum any more, and an entry that restarts knows no store without it.
+// Steps that were accepted and ended could not be read after a power cut,
+// although a majority of the stores had them. One control instance is removed
+// permanently and replaced by another one at a new address; later a third one
+// loses its disk. The removed instance was still counted as a voter, so the
+// control group lost its quorum, and an entry that restarts needs the control
+// group to find the stores.
 TEST(DeploymentTest, StepsAreFoundAfterAControlInstanceWasExchanged) {
   deployment fleet;
   ASSERT_TRUE(fleet.Start());
   ASSERT_TRUE(fleet.Submit("e1", "ended", 4));
-  ExpectWhole(fleet.WaitForResults("e2", "ended", 4), "ended", 4);
+  ExpectCompleteResults(fleet.WaitForResults("e2", "ended", 4), "ended", 4);
   ASSERT_TRUE(fleet.End("e1", "ended"));
   fleet.KillNode("c2");
   fleet.StartSpareControl();
@@ -169,24 +174,24 @@
   EXPECT_TRUE(WaitUntil([&] { return fleet.CountVoterIdentities("c1") == 2; }));
   EXPECT_TRUE(fleet.PutConfiguration(2, true));
   fleet.CutPower("s1");
-  ExpectWhole(fleet.WaitForResults("e2", "ended", 4), "ended", 4);
+  ExpectCompleteResults(fleet.WaitForResults("e2", "ended", 4), "ended", 4);
 }
 
-// Every stream breaks off once in its middle. The text goes on after the last
-// whole event at another engine; nothing is missing and nothing stands twice.
+// Each stream is interrupted once in the middle. Another engine continues the
+// text after the last complete event; no event is missing or duplicated.
 TEST(DeploymentTest, BrokenStreamsAreResumed) {
   deployment fleet;
   ASSERT_TRUE(fleet.Start());
   fleet.Endpoints().BreakStreamsAfter(stand_in_endpoints::kEvents / 2);
   ASSERT_TRUE(fleet.Submit("e1", "broken", 6));
-  ExpectWhole(fleet.WaitForResults("e2", "broken", 6), "broken", 6);
+  ExpectCompleteResults(fleet.WaitForResults("e2", "broken", 6), "broken", 6);
   EXPECT_EQ(fleet.Endpoints().RunsOf(deployment::TaskId("broken", 0)), 2);
 }
 
-// Texts are whole and their reward requests take long. Meanwhile each store is
-// killed and started again, the data leader among them. Every result carries
-// the mark of a scorer that was asked after the last event of its text, and one
-// whose scorers fail as often as allowed is given up.
+// All texts are complete and their reward requests take long. Meanwhile each
+// store is killed and restarted, including the data leader. Every result has
+// the score of a reward request that was sent after the last event of its text.
+// A task whose reward requests fail as often as allowed is terminated.
 TEST(DeploymentTest, ScoresOutliveEveryStore) {
   deployment fleet;
   ASSERT_TRUE(fleet.Start());
@@ -199,24 +204,25 @@
     fleet.KillNode(store);
     fleet.StartNode(store);
     ASSERT_TRUE(fleet.Submit("e2", "after-" + store, 1));
-    ExpectWhole(fleet.WaitForResults("e1", "after-" + store, 1),
-                "after-" + store, 1);
+    ExpectCompleteResults(fleet.WaitForResults("e1", "after-" + store, 1),
+                          "after-" + store, 1);
   }
   const json results = fleet.WaitForResults("e2", "scored", kTasks);
   ASSERT_EQ(results.size(), static_cast<size_t>(kTasks));
   for (const json& result : results) {
     const std::string id = result["id"];
-    const bool is_given_up = id == deployment::TaskId("scored", 3);
-    EXPECT_EQ(result["state"], is_given_up ? "terminated" : "completed") << id;
-    EXPECT_EQ(result.value("score", ""), is_given_up ? "" : "signed") << id;
+    const bool is_terminated = id == deployment::TaskId("scored", 3);
+    EXPECT_EQ(result["state"], is_terminated ? "terminated" : "completed")
+        << id;
+    EXPECT_EQ(result.value("score", ""), is_terminated ? "" : "signed") << id;
   }
   EXPECT_EQ(fleet.Endpoints().EarlyRewards(), 0);
   EXPECT_GE(fleet.Endpoints().RunsOf(failing), 2);
 }
 
-// The control instances are killed one after the other, and all at once. What
-// an operator was told is in force stays in force: it is read back, and a
-// dropped route is gone at every entry.
+// The control instances are killed one after the other and all at once. An
+// acknowledged configuration stays in force: it is read back, and a removed
+// route is rejected at every entry.
 TEST(DeploymentTest, ConfigurationOutlivesTheControlGroup) {
   deployment fleet;
   ASSERT_TRUE(fleet.Start());
@@ -242,8 +248,9 @@
   }
 }
 
-// An entry is stopped while a request is at its endpoint. The caller gets its
-// answer, the entry reports not ready, and it ends by itself with 0.
+// An entry is stopped while a request is running at its endpoint. The caller
+// gets its response, the entry reports that it is not ready, and it exits with
+// 0.
 TEST(DeploymentTest, PlannedStopCutsNothingOff) {
   deployment fleet;
   ASSERT_TRUE(fleet.Start());
--- a/tests/integration/endpoints_test.cc
+++ b/tests/integration/endpoints_test.cc
@@ -31,8 +31,8 @@
   return fleet.Web().GetJson(fleet.EndpointAddress(engine), "/fake/state");
 }
 
-// An endpoint announces at one instance that it leaves. No instance sends it
-// new work afterwards, and the calls in flight there finish.
+// An endpoint announces to one instance that it leaves. No instance sends it
+// new requests afterwards, and its requests in flight finish.
 TEST(EndpointsTest, LeavingEndpointGetsNoNewWorkAndCutsNothing) {
   cluster fleet(ThreeNodes());
   ASSERT_TRUE(fleet.Start(SmallConfiguration()));
@@ -67,9 +67,9 @@
   for (auto& item : running) EXPECT_EQ(item.get().status, 200);
 }
 
-// The leaving endpoint tells one instance while another is cut off from all
-// others for a while. The lease ends its routing there too, before the cut
-// heals.
+// An endpoint announces that it leaves while one instance is isolated from all
+// others. The expiry of the lease ends routing at the isolated instance before
+// the connection is restored.
 TEST(EndpointsTest, LeaseEndsRoutingAtAnInstanceThatIsCutOff) {
   cluster fleet(ThreeNodes());
   ASSERT_TRUE(fleet.Start(SmallConfiguration()));
@@ -82,8 +82,9 @@
   }));
 }
 
-// An endpoint restarts under the same id and address: it is routed to again at
-// once, and a late copy of its leaving announcement does not take it out.
+// An endpoint restarts under the same id and address. It receives requests
+// again immediately, and a delayed copy of its old leave announcement does not
+// remove it.
 TEST(EndpointsTest, EndpointReturnsUnderTheSameAddress) {
   cluster fleet(ThreeNodes());
   ASSERT_TRUE(fleet.Start(SmallConfiguration()));
@@ -99,8 +100,8 @@
       200);
 }
 
-// Somebody announces another endpoint under an id that is alive: refused, and
-// calls still go to the right one.
+// Another endpoint is announced under the id of a live endpoint. The
+// announcement is rejected, and calls are still sent to the original endpoint.
 TEST(EndpointsTest, AnnouncementUnderAnothersIdIsRefused) {
   cluster fleet(ThreeNodes());
   ASSERT_TRUE(fleet.Start(SmallConfiguration()));
@@ -119,10 +120,11 @@
       200);
 }
 
-// A planned stop of the leader, and of a step's coordinator, under load. The
-// balancer goes on sending for a while. Every request that was taken is
-// answered whole, the process exits with 0, the others have a leader at once,
-// and the step goes on elsewhere with each sample once.
+// The leader, which also coordinates a step, is stopped under load, and the
+// load balancer continues to send requests to it for a while. Every accepted
+// request gets a complete response, the process exits with 0, the other
+// instances have a leader immediately, and the step continues elsewhere with
+// each sample delivered once.
 TEST(EndpointsTest, PlannedStopCutsNothingOff) {
   cluster fleet(ThreeNodes());
   ASSERT_TRUE(fleet.Start(SmallConfiguration()));
@@ -131,18 +133,19 @@
         {id, "engine", "model-a", "north", "z1", {"--slow_factor=3"}});
   }
   ASSERT_TRUE(fleet.WaitForEndpoints(2));
-  const std::string victim = fleet.Leader();
+  const std::string stopped = fleet.Leader();
   std::vector<std::string> others;
   for (const char* id : {"n1", "n2", "n3"}) {
-    if (id != victim) others.push_back(id);
+    if (id != stopped) others.push_back(id);
   }
-  const auto opened = fleet.Web().Post(
-      fleet.Callers(victim), "/v1/pools/pool-a/steps", StepSpec("stop", 16, 4));
+  const auto opened =
+      fleet.Web().Post(fleet.Callers(stopped), "/v1/pools/pool-a/steps",
+                       StepSpec("stop", 16, 4));
   ASSERT_EQ(opened.status, 200) << opened.body;
   std::vector<std::future<http_response>> running;
   const auto send = [&] {
     running.push_back(fleet.Web().PostLater(
-        fleet.Callers(victim), "/v1/pools/pool-a/generate",
+        fleet.Callers(stopped), "/v1/pools/pool-a/generate",
         {{"prompt", "p" + std::to_string(running.size())},
          {"max_tokens", 200},
          {"stream", true}}));
@@ -150,22 +153,22 @@
   for (int i = 0; i < 10; ++i) send();
   ASSERT_TRUE(WaitUntil(
       [&] { return EngineState(fleet, "e1").value("tokens", 0) > 50; }));
-  fleet.Node(victim).Signal(SIGTERM);
+  fleet.Node(stopped).Signal(SIGTERM);
   for (int i = 0; i < 20; ++i) {
     send();
     std::this_thread::sleep_for(std::chrono::milliseconds(
-        10));  // the balancer sends on while it learns
+        10));  // the balancer has not yet detected the stop
   }
   const pull_outcome outcome = PullAll(fleet, "stop", {others});
   EXPECT_TRUE(outcome.is_done);
   ExpectEachSlotOnce(outcome, 64);
-  EXPECT_EQ(fleet.Node(victim).WaitForExit(std::chrono::milliseconds(30000)),
+  EXPECT_EQ(fleet.Node(stopped).WaitForExit(std::chrono::milliseconds(30000)),
             0);
   size_t whole = 0;
   for (auto& item : running) {
     const http_response answer = item.get();
-    // After the listener has closed nothing can be sent any more; that is a
-    // clean "not run".
+    // After the listener is closed, requests can't be sent any more, which is a
+    // clear "not run".
     if (answer.how == transport::delivery::kNotSent || answer.status == 503) {
       continue;
     }
@@ -175,13 +178,14 @@
     ++whole;
   }
   EXPECT_GE(whole, 10U);
-  EXPECT_FALSE(fleet.Leader(victim).empty());
+  EXPECT_FALSE(fleet.Leader(stopped).empty());
 }
 
-// A leader is frozen and deposed while it gives orders. Engines that honour
-// fencing numbers refuse what it still sends; engines that ignore them get each
-// version from one leader at a time, since an order is sent only under a live
-// lease and a new leader waits. No engine ever goes back a version.
+// A leader is frozen and deposed while it sends orders. Engines that check
+// fencing tokens reject its late orders. Engines that ignore them get each
+// version from only one leader at a time, because orders are sent only under a
+// valid lease and a new leader waits for the old lease. No engine ever returns
+// to an older version.
 TEST(EndpointsTest, DeposedLeaderGivesNoOrders) {
   cluster fleet(ThreeNodes());
   ASSERT_TRUE(fleet.Start(SmallConfiguration()));
@@ -226,8 +230,8 @@
   }
 }
 
-// A swap goes through the pool in waves: the floor of serving engines is kept
-// at any time.
+// A weights swap proceeds through the pool in waves. The minimum number of
+// serving engines is maintained at all times.
 TEST(EndpointsTest, SwapKeepsTheFloorOfServingEngines) {
   cluster fleet(ThreeNodes());
   ASSERT_TRUE(fleet.Start(SmallConfiguration("    swap_floor: 0.5\n")));
--- a/tests/integration/recovery_test.cc
+++ b/tests/integration/recovery_test.cc
@@ -1,4 +1,4 @@
-// Promise 10: accepted state survives kills, lost and damaged disks.
+// Promise 10: accepted state survives crashes and lost or corrupted disks.
 
 #include <gtest/gtest.h>
 #include <signal.h>
@@ -17,8 +17,8 @@
 
 using nlohmann::json;
 
-// The file of the log that is written to: "log" in a new folder, "log-N" after
-// a snapshot came from the leader or a file was full.
+// Returns the log file that is currently written: "log" in a new folder,
+// "log-N" after a snapshot of the leader was installed or a file was full.
 std::string NewestLogFile(const std::string& folder) {
   const std::string prefix = "log-";
   int64_t newest = 0;
@@ -37,7 +37,7 @@
   return text.str();
 }
 
-// Publishes weight versions as small durable changes; the answer tells whether
+// Publishes a weights version, which is a small durable change. Returns whether
 // it was accepted.
 bool Publish(cluster& fleet, const std::string& node, int64_t version) {
   const auto response = fleet.Web().Post(
@@ -68,8 +68,8 @@
   return false;
 }
 
-// All control instances are killed at once, again and again, while changes are
-// made. After each restart everything that was answered "accepted" is there.
+// All control instances are killed at once, several times, while changes are
+// made. After each restart all accepted changes are present.
 TEST(RecoveryTest, WholeGroupKilledAgainAndAgain) {
   cluster fleet(ThreeNodes());
   ASSERT_TRUE(fleet.Start(SmallConfiguration()));
@@ -86,26 +86,26 @@
   }
 }
 
-// An instance loses its disk. It comes back empty, may not vote under its old
-// identity, gets the state from the others and is admitted under its new
-// storage id. Right after that a second instance loses its disk, and then a
-// third: nothing accepted is missing at the end, when no disk of the beginning
-// is left.
+// An instance loses its disk. It restarts empty, may not vote under its old
+// identity, gets the state from the others and is admitted under a new storage
+// id. Right after that a second instance loses its disk, and then a third. At
+// the end no original disk is left and no accepted change is missing.
 TEST(RecoveryTest, DisksLostOneAfterTheOther) {
   cluster fleet(ThreeNodes(), "consensus: {snapshot_every: 50}\n");
   ASSERT_TRUE(fleet.Start(SmallConfiguration()));
   int64_t version = 0;
-  for (const char* victim : {"n1", "n2", "n3"}) {
+  for (const char* failed : {"n1", "n2", "n3"}) {
     for (int i = 0; i < 40; ++i) {
-      ASSERT_TRUE(Publish(fleet, "n2", ++version)) << victim << version;
+      ASSERT_TRUE(Publish(fleet, "n2", ++version)) << failed << version;
     }
-    fleet.KillNode(victim);
-    fleet.LoseDisk(victim);
-    fleet.StartNode(victim);
-    // Voting again and serving again come apart: its view may arrive later.
+    fleet.KillNode(failed);
+    fleet.LoseDisk(failed);
+    fleet.StartNode(failed);
+    // The instance may become ready later than it becomes a voter, because it
+    // receives its view separately.
     ASSERT_TRUE(WaitUntil([&] {
-      return IsAdmitted(fleet, victim) && fleet.IsReady(victim);
-    })) << victim;
+      return IsAdmitted(fleet, failed) && fleet.IsReady(failed);
+    })) << failed;
   }
   ASSERT_TRUE(WaitUntil([&] {
     return fleet.IsReady("n1") && fleet.IsReady("n2") && fleet.IsReady("n3");
@@ -114,52 +114,52 @@
   EXPECT_TRUE(Publish(fleet, "n3", ++version));
 }
 
-// A byte in the middle of the log is flipped while the instance is down. It
-// refuses to start with a clear message instead of forgetting what follows;
-// with an empty folder it is repaired.
+// A byte in the middle of the log is flipped while the instance is down. The
+// instance refuses to start with a clear message, because it would lose the
+// records after the corruption. It recovers with an empty folder.
 TEST(RecoveryTest, FlippedByteIsRefusedAndRepaired) {
   cluster fleet(ThreeNodes());
   ASSERT_TRUE(fleet.Start(SmallConfiguration()));
   for (int64_t i = 1; i <= 20; ++i) ASSERT_TRUE(Publish(fleet, "n1", i));
-  const std::string victim = fleet.Leader() == "n3" ? "n2" : "n3";
-  fleet.KillNode(victim);
-  const std::string path = NewestLogFile(fleet.DataFolder(victim));
+  const std::string failed = fleet.Leader() == "n3" ? "n2" : "n3";
+  fleet.KillNode(failed);
+  const std::string path = NewestLogFile(fleet.DataFolder(failed));
   std::string content = ReadFile(path);
   content[content.size() / 2] =
       static_cast<char>(content[content.size() / 2] ^ 1);
   std::ofstream(path, std::ios::binary | std::ios::trunc) << content;
-  fleet.StartNode(victim);
-  EXPECT_EQ(fleet.Node(victim).WaitForExit(std::chrono::milliseconds(10000)),
+  fleet.StartNode(failed);
+  EXPECT_EQ(fleet.Node(failed).WaitForExit(std::chrono::milliseconds(10000)),
             1);
-  EXPECT_NE(ReadFile(fleet.LogOf(victim)).find("is damaged at byte"),
+  EXPECT_NE(ReadFile(fleet.LogOf(failed)).find("is damaged at byte"),
             std::string::npos);
-  EXPECT_NE(ReadFile(fleet.LogOf(victim)).find("HK2002"), std::string::npos);
-  fleet.LoseDisk(victim);
-  fleet.StartNode(victim);
+  EXPECT_NE(ReadFile(fleet.LogOf(failed)).find("HK2002"), std::string::npos);
+  fleet.LoseDisk(failed);
+  fleet.StartNode(failed);
   EXPECT_TRUE(WaitUntil(
-      [&] { return IsAdmitted(fleet, victim) && fleet.IsReady(victim); }));
-  EXPECT_NE(ReadFile(fleet.LogOf(victim)).find("HK2004"), std::string::npos);
+      [&] { return IsAdmitted(fleet, failed) && fleet.IsReady(failed); }));
+  EXPECT_NE(ReadFile(fleet.LogOf(failed)).find("HK2004"), std::string::npos);
 }
 
-// A crash tore the last write. The instance cuts it off, says so, and catches
-// up.
+// A crash interrupted the last write. The instance removes the incomplete
+// record, reports this, and catches up.
 TEST(RecoveryTest, TornTailIsCutAndReported) {
   cluster fleet(ThreeNodes());
   ASSERT_TRUE(fleet.Start(SmallConfiguration()));
   for (int64_t i = 1; i <= 5; ++i) ASSERT_TRUE(Publish(fleet, "n1", i));
-  const std::string victim = fleet.Leader() == "n3" ? "n2" : "n3";
-  fleet.KillNode(victim);
-  const std::string path = NewestLogFile(fleet.DataFolder(victim));
+  const std::string failed = fleet.Leader() == "n3" ? "n2" : "n3";
+  fleet.KillNode(failed);
+  const std::string path = NewestLogFile(fleet.DataFolder(failed));
   std::filesystem::resize_file(path, std::filesystem::file_size(path) - 3);
-  fleet.StartNode(victim);
+  fleet.StartNode(failed);
   EXPECT_TRUE(WaitUntil([&] {
-    return fleet.IsReady(victim) && PublishedVersion(fleet, victim) == 5;
+    return fleet.IsReady(failed) && PublishedVersion(fleet, failed) == 5;
   }));
-  EXPECT_NE(ReadFile(fleet.LogOf(victim)).find("HK2001"), std::string::npos);
+  EXPECT_NE(ReadFile(fleet.LogOf(failed)).find("HK2001"), std::string::npos);
 }
 
-// An operator founds the group a second time by mistake, at an instance with an
-// empty disk: refused.
+// An operator bootstraps the group a second time by mistake, at an instance
+// with an empty disk. The command is rejected.
 TEST(RecoveryTest, SecondBootstrapIsRefused) {
   cluster fleet(ThreeNodes());
   ASSERT_TRUE(fleet.Start(SmallConfiguration()));
--- a/tests/integration/requests_test.cc
+++ b/tests/integration/requests_test.cc
@@ -1,5 +1,5 @@
-// Promises 4, 5, 6 and 12: whole answers, honest "not run", non-idempotent
-// calls at most once, silent connections.
+// Promises 4, 5, 6 and 12: complete responses, correct "not run",
+// non-idempotent calls at most once, unresponsive connections.
 
 #include <gtest/gtest.h>
 #include <signal.h>
@@ -42,7 +42,7 @@
               200);
   }
 
-  // How often the call with this body ran, over the endpoints given.
+  // Returns how often the call with this body was run by the given endpoints.
   int64_t Runs(const std::vector<std::string>& endpoints,
                const std::string& body) {
     int64_t runs = 0;
@@ -56,22 +56,24 @@
     return runs;
   }
 
-  // Sends a request that ends the endpoints that run it, through each instance
-  // again and again, and starts them anew. Others are served beside it.
-  void CountEnds(std::vector<endpoint_spec> specs,
-                 const std::function<http_response(
-                     const std::string& node, const std::string& what)>& send,
-                 int& ends) {
+  // Repeatedly sends a request that crashes its endpoint through each instance,
+  // and restarts the crashed endpoints. Other requests must be served
+  // meanwhile. Adds the crashes to `crashes`.
+  void CountCrashes(
+      std::vector<endpoint_spec> specs,
+      const std::function<http_response(const std::string& node,
+                                        const std::string& what)>& send,
+      int& crashes) {
     for (endpoint_spec& spec : specs) spec.flags = {"--ends_on=crash"};
     StartWith(specs);
     for (int round = 0; round < kRounds; ++round) {
       for (const char* node : {"n1", "n2", "n3"}) {
         send(node, "crash");
         for (const endpoint_spec& spec : specs) {
-          const auto is_over = fleet_.Endpoint(spec.id).WaitForExit(
+          const auto exit_code = fleet_.Endpoint(spec.id).WaitForExit(
               std::chrono::milliseconds(0));
-          if (!is_over) continue;
-          ++ends;
+          if (!exit_code) continue;
+          ++crashes;
           fleet_.StartEndpoint(spec);
         }
         ASSERT_TRUE(
@@ -81,8 +83,8 @@
   }
 
   static constexpr int kRounds = 5;
-  static constexpr int kEndsAllowed = 3;
-  static constexpr int kSendsAllowed = 3;
+  static constexpr int kCrashesBeforeQuarantine = 3;
+  static constexpr int kMaxFurtherCrashes = 3;
 
   http_response Hold(const std::string& node, const std::string& key,
                      const std::string& body) {
@@ -96,8 +98,9 @@
 const endpoint_spec kBooking1{"b1", "service", "bookings"};
 const endpoint_spec kBooking2{"b2", "service", "bookings"};
 
-// The caller's answer was lost and it asks again with the same key, through
-// every other instance: it gets the recorded answer, and the call ran once.
+// The response to a caller is lost and the caller repeats the call with the
+// same key through every other instance: it gets the recorded response, and the
+// call ran once.
 TEST_F(RequestsTest, RepeatThroughAnotherInstanceGetsTheRecordedAnswer) {
   StartWith({kBooking1, kBooking2});
   const http_response first = Hold("n1", "key-1", "slot-9");
@@ -114,7 +117,7 @@
   EXPECT_EQ(Runs({"b1", "b2"}, "slot-10"), 0);
 }
 
-// The same call comes in through all instances at once, many times: it runs
+// The same call arrives through all instances concurrently, many times: it runs
 // once.
 TEST_F(RequestsTest, ConcurrentRepeatsRunOnce) {
   StartWith({kBooking1, kBooking2});
@@ -137,24 +140,25 @@
   }
 }
 
-// The entry is killed after it has sent the call and before the answer came.
-// The caller repeats it through another entry and is told "unknown", now and
-// later, also after the killed entry is back, after the whole control group was
-// restarted, and after hundreds of other changes. It never runs a second time.
+// The entry is killed after it has sent the call and before the response
+// arrives. The caller repeats the call through another entry and gets
+// "unknown". This stays so after the killed entry has restarted, after a
+// restart of the control group, and after hundreds of other changes. The call
+// never runs a second time.
 TEST_F(RequestsTest, EntryKilledAfterDispatch) {
   StartWith({kBooking1});
   Behave("b1", {{"delay_ms", 1500}});
-  const std::string victim = fleet_.Leader() == "n3" ? "n2" : "n3";
-  auto lost = fleet_.Web().PostLater(fleet_.Callers(victim), kHolds,
+  const std::string killed = fleet_.Leader() == "n3" ? "n2" : "n3";
+  auto lost = fleet_.Web().PostLater(fleet_.Callers(killed), kHolds,
                                      {{"hold", "slot-7"}},
                                      {{"Idempotency-Key", "key-7"}});
   ASSERT_TRUE(WaitUntil([&] { return Runs({"b1"}, "slot-7") == 1; }));
-  fleet_.KillNode(victim);
+  fleet_.KillNode(killed);
   EXPECT_NE(lost.get().how, transport::delivery::kAnswered);
   const http_response early = Hold("n1", "key-7", "slot-7");
   EXPECT_TRUE(early.status == 409 || early.status == 502) << early.status;
   EXPECT_EQ(BodyOf(early)["outcome"], "unknown");
-  fleet_.StartNode(victim);
+  fleet_.StartNode(killed);
   EXPECT_TRUE(
       WaitUntil([&] { return Hold("n1", "key-7", "slot-7").status == 502; }));
   for (int64_t i = 1; i <= 200; ++i) {
@@ -173,8 +177,8 @@
   EXPECT_EQ(Runs({"b1"}, "slot-7"), 1);
 }
 
-// The leader changes while calls with keys are made: each of them runs at most
-// once, and each that was answered 200 ran exactly once.
+// The leader changes while calls with keys are made: each call runs at most
+// once, and each call with response 200 ran exactly once.
 TEST_F(RequestsTest, LeaderKilledWhileCallsAreClaimed) {
   StartWith({kBooking1, kBooking2});
   const std::string leader = fleet_.Leader();
@@ -195,7 +199,7 @@
   }
 }
 
-// The service reads the call and never answers. The caller is told "unknown",
+// The service reads the call and never responds. The caller gets "unknown" and
 // not "not run", and the call is not sent to the other endpoint.
 TEST_F(RequestsTest, EndpointFreezesAfterReading) {
   StartWith({kBooking1, kBooking2});
@@ -211,8 +215,8 @@
   EXPECT_EQ(Runs({"b1", "b2"}, "slot-g"), 1);
 }
 
-// The endpoint says by itself that it did not run the call: the caller is told
-// so, the claim is given back, and the same key runs once the endpoint takes
+// The endpoint responds that it did not run the call. The caller gets "not
+// run", the claim is released, and the same key runs when the endpoint accepts
 // it.
 TEST_F(RequestsTest, EndpointSaysNotRun) {
   StartWith({kBooking1});
@@ -226,9 +230,8 @@
   EXPECT_EQ(Runs({"b1"}, "slot-n"), 1);
 }
 
-// The connection is reset right after it is opened, before, during or after the
-// call is written. Whatever the caller is told, "not run" is said only when it
-// did not run.
+// The connection is reset after it is opened, or before, during or after the
+// write of the call. The caller gets "not run" only if the call did not run.
 TEST_F(RequestsTest, ResetsAtAnyMomentNeverMakeNotRunUntrue) {
   StartWith({kBooking1});
   for (int i = 0; i < 40; ++i) {
@@ -237,7 +240,7 @@
         fleet_.Web().PostLater(fleet_.Callers("n1"), kHolds, {{"hold", name}},
                                {{"Idempotency-Key", name}});
     std::this_thread::sleep_for(std::chrono::microseconds(
-        150 * i));  // spreads the cut over the call's life
+        150 * i));  // varies the time of the reset within the call
     fleet_.Proxy().SetFault(fleet_.EndpointLink("b1"), link_fault::kCut);
     const http_response got = answer.get();
     fleet_.Proxy().SetFault(fleet_.EndpointLink("b1"), link_fault::kNone);
@@ -252,8 +255,8 @@
   }
 }
 
-// The service answers with another request's id. The caller must not get that
-// answer; a call that may be repeated is sent to the other endpoint.
+// The service responds with the id of another request. The caller must not get
+// this response, and a call that may be repeated is sent to the other endpoint.
 TEST_F(RequestsTest, AnswerToAnotherRequestIsNotPassedOn) {
   StartWith({kBooking1, kBooking2});
   Behave("b1", {{"echoes_wrong_id", true}});
@@ -265,8 +268,8 @@
   }
 }
 
-// Slow answers of given-up calls arrive late. Later calls over the same
-// connections get their own answers: every caller sees its own body echoed.
+// Responses to timed-out calls arrive late. Later calls over the same
+// connections get their own responses: every caller receives its own body.
 TEST_F(RequestsTest, LateAnswersNeverReachAnotherCaller) {
   StartWith({kBooking1}, SmallConfiguration("", "").replace(
                              SmallConfiguration().find("timeout: 4s"), 11,
@@ -290,42 +293,44 @@
   }
 }
 
-// Guards against a call without a bound that takes down each endpoint that runs
-// it: it comes again through every instance, and the endpoints come back.
+// Guards against a call that crashes each endpoint that runs it and is never
+// quarantined: the call is repeated through every instance, and the endpoints
+// restart.
 TEST_F(RequestsTest, CallThatEndsItsEndpointsIsHeldBack) {
-  int ends = 0;
-  CountEnds(
+  int crashes = 0;
+  CountCrashes(
       {kBooking1, kBooking2},
       [this](const std::string& node, const std::string& what) {
         return fleet_.Web().Get(fleet_.Callers(node),
                                 "/v1/services/bookings/" + what);
       },
-      ends);
-  EXPECT_LE(ends, kEndsAllowed + kSendsAllowed);
-  const http_response held =
+      crashes);
+  EXPECT_LE(crashes, kCrashesBeforeQuarantine + kMaxFurtherCrashes);
+  const http_response rejected =
       fleet_.Web().Get(fleet_.Callers("n2"), "/v1/services/bookings/crash");
-  EXPECT_EQ(held.status, 429) << held.body;
-  EXPECT_EQ(held.Header("Hickory-Outcome"), "not_run");
-  EXPECT_FALSE(held.Header("Retry-After").empty());
+  EXPECT_EQ(rejected.status, 429) << rejected.body;
+  EXPECT_EQ(rejected.Header("Hickory-Outcome"), "not_run");
+  EXPECT_FALSE(rejected.Header("Retry-After").empty());
 }
 
-// Guards against the same for a generation, whose engines it takes down.
+// Guards against a generation that crashes its engines and is never
+// quarantined.
 TEST_F(RequestsTest, GenerationThatEndsItsEnginesIsHeldBack) {
-  int ends = 0;
-  CountEnds(
+  int crashes = 0;
+  CountCrashes(
       {{"e1"}, {"e2"}},
       [this](const std::string& node, const std::string& what) {
         return fleet_.Web().Post(
             fleet_.Callers(node), "/v1/pools/pool-a/generate",
             {{"prompt", what}, {"max_tokens", 5}, {"deadline_ms", 2000}});
       },
-      ends);
-  EXPECT_LE(ends, kEndsAllowed + kSendsAllowed);
+      crashes);
+  EXPECT_LE(crashes, kCrashesBeforeQuarantine + kMaxFurtherCrashes);
 }
 
-// Something between the instance and the endpoint forgets all open connections;
-// new ones work. A call that may be repeated goes through on a fresh connection
-// within its time.
+// A middlebox between the instance and the endpoint drops the state of all open
+// connections; new ones work. A call that may be repeated succeeds over a new
+// connection within its timeout.
 TEST_F(RequestsTest, SilentConnectionsToAnEndpoint) {
   StartWith({kBooking1, kBooking2}, SmallConfiguration());
   for (int i = 0; i < 6; ++i) {
@@ -343,8 +348,8 @@
   EXPECT_EQ(answer.status, 200) << answer.body;
 }
 
-// The same between the instances: all links forget their open connections at
-// once. The group keeps a leader and accepts changes within seconds, over fresh
+// All links between the instances drop the state of their open connections at
+// once. The group keeps a leader and accepts changes within seconds, over new
 // connections.
 TEST_F(RequestsTest, SilentConnectionsBetweenInstances) {
   StartWith({});
@@ -362,9 +367,9 @@
   }));
 }
 
-// One engine never has room and the other one is free. Every prompt has a home
-// engine for its cached prefix; those whose home is the busy one must still be
-// answered by the other, at once instead of when their deadline passes.
+// One engine is always full and the other one is free. Every prompt has a home
+// engine for its cached prefix. Prompts whose home is the full engine must be
+// served by the other engine, immediately and not when their deadline expires.
 TEST_F(RequestsTest, PromptWhoseHomeIsBusyGoesElsewhere) {
   StartWith({{"e1"},
              {"e2", "engine", "model-a", "north", "z1", {"--most_queued=0"}}});
@@ -379,9 +384,10 @@
   }
 }
 
-// One engine reads a generation and goes silent, the other one always says that
-// it has no room. The deadline passes. The first engine may have run it, so the
-// caller must not be told "not run", whatever the second one said afterwards.
+// One engine reads a generation and never responds, the other one always
+// rejects because it is full. The deadline expires. The first engine may have
+// run the generation, so the caller must not get "not run", regardless of the
+// rejections by the second engine.
 TEST_F(RequestsTest, BusyEngineDoesNotUndoAnEarlierAttempt) {
   StartWith({{"e1"},
              {"e2", "engine", "model-a", "north", "z1", {"--most_queued=0"}}});
--- a/tests/integration/samples_test.cc
+++ b/tests/integration/samples_test.cc
@@ -1,5 +1,5 @@
-// Promises 1, 2 and 3: labels that name the true versions, the staleness bound,
-// exactly once.
+// Promises 1, 2 and 3: labels with the true weights versions, the staleness
+// bound, exactly-once delivery.
 
 #include <gtest/gtest.h>
 #include <signal.h>
@@ -68,9 +68,9 @@
   return oldest;
 }
 
-// New weights are published while samples are being generated. Samples that
-// went on under the new weights name both versions with their token ranges;
-// none names a version that no engine loaded.
+// New weights are published while samples are generated. Samples that continued
+// under the new weights are labelled with both versions and their token ranges.
+// No label contains a version that no engine loaded.
 TEST_F(SamplesTest, SwapInMidStreamGivesSeveralRanges) {
   StartWith({{"e1",
               "engine",
@@ -106,9 +106,9 @@
   }));
 }
 
-// A swap fails partway at one engine: it takes its time and goes on with the
-// old weights, and its announcements claim the new ones. The labels follow the
-// chunks, not the claim.
+// A swap fails at one engine: it takes its normal time, the engine continues
+// with the old weights, and its announcements report the new ones. The labels
+// follow the versions of the chunks, not the announcements.
 TEST_F(SamplesTest, FailedSwapAndLyingAnnouncement) {
   StartWith({{"e1"}});
   Behave("e1", {{"swap_fails", true}, {"announced_version", 2}});
@@ -123,9 +123,9 @@
   }
 }
 
-// An engine streams chunks without a version, or with another request's id. Its
-// text is of no use: no sample has any of it, the other engine generates them
-// all.
+// An engine streams chunks without a version, or with the id of another
+// request. Its text is not used in any sample; the other engine generates all
+// samples.
 TEST_F(SamplesTest, UnlabelledAndForeignChunksAreNotUsed) {
   StartWith({{"e1"}, {"e2"}});
   Behave("e1", {{"omits_version", true}});
@@ -141,8 +141,9 @@
   for (const json& sample : outcome.samples) EXPECT_EQ(sample["engine"], "e2");
 }
 
-// An engine cuts its streams after some tokens, another goes silent. The
-// samples go on elsewhere from the token reached, are whole, and come once.
+// One engine interrupts its streams after some tokens and another one stops
+// sending. The samples are resumed on other engines from the last token, are
+// complete, and are delivered once.
 TEST_F(SamplesTest, CutAndSilentStreamsAreResumed) {
   StartWith({{"e1"}, {"e2"}, {"e3"}});
   Behave("e1", {{"cut_after_tokens", 20}});
@@ -158,9 +159,9 @@
   ExpectEachSlotOnce(outcome, 24);
 }
 
-// The trainer publishes versions faster than the step's samples are pulled,
-// also between the completion of a sample and its delivery. What is older than
-// the bound is thrown away and generated again; nothing delivered is older.
+// The trainer publishes versions faster than it pulls the samples of the step,
+// also between the completion of a sample and its delivery. Samples beyond the
+// staleness bound are discarded and generated again, and none is delivered.
 TEST_F(SamplesTest, NothingBeyondTheStalenessBoundIsDelivered) {
   StartWith({{"e1", "engine", "model-a", "north", "z1", {"--swap_ms=20"}},
              {"e2", "engine", "model-a", "north", "z2", {"--swap_ms=20"}}});
@@ -184,27 +185,28 @@
   }
 }
 
-// The answer of a pull is lost. The trainer asks again with the same cursor,
-// through each instance: the same bytes. An acknowledged cursor is gone.
+// The response to a pull is lost. The trainer pulls again with the same cursor
+// through each instance and gets the same bytes. An acknowledged cursor is no
+// longer available.
 TEST_F(SamplesTest, SameCursorGivesTheSameBytes) {
   StartWith({{"e1"}});
   Open("n1", StepSpec("again", 4, 2));
-  const json ask = {{"cursor", 1},
-                    {"trainer_version", 1},
-                    {"max_samples", 4},
-                    {"wait_ms", 2000}};
+  const json body = {{"cursor", 1},
+                     {"trainer_version", 1},
+                     {"max_samples", 4},
+                     {"wait_ms", 2000}};
   http_response first;
   ASSERT_TRUE(WaitUntil([&] {
     first = fleet_.Web().Post(fleet_.Callers("n1"),
-                              "/v1/pools/pool-a/steps/again/pull", ask);
+                              "/v1/pools/pool-a/steps/again/pull", body);
     return first.status == 200 && !BodyOf(first)["samples"].empty();
   }));
   for (const char* node : {"n2", "n3", "n1"}) {
     const http_response again = fleet_.Web().Post(
-        fleet_.Callers(node), "/v1/pools/pool-a/steps/again/pull", ask);
+        fleet_.Callers(node), "/v1/pools/pool-a/steps/again/pull", body);
     EXPECT_EQ(again.body, first.body);
   }
-  json next = ask;
+  json next = body;
   next["cursor"] = 2;
   ASSERT_TRUE(WaitUntil([&] {
     const http_response more = fleet_.Web().Post(
@@ -212,39 +214,39 @@
     return more.status == 200 && !BodyOf(more)["samples"].empty();
   }));
   const http_response old = fleet_.Web().Post(
-      fleet_.Callers("n3"), "/v1/pools/pool-a/steps/again/pull", ask);
+      fleet_.Callers("n3"), "/v1/pools/pool-a/steps/again/pull", body);
   EXPECT_EQ(old.status, 410) << old.body;
 }
 
 // The coordinator is killed right after a pull was answered, so the batch is
-// committed but may not have arrived. The trainer repeats the cursor elsewhere:
-// the same bytes come from the second zone.
+// committed but may not have arrived. The trainer repeats the cursor at another
+// instance: the same bytes are delivered from the second zone.
 TEST_F(SamplesTest, CommittedBatchSurvivesItsCoordinator) {
   StartWith({{"e1"}, {"e2"}});
   Open("n3", StepSpec("survive", 6, 2));
-  const json ask = {{"cursor", 1},
-                    {"trainer_version", 1},
-                    {"max_samples", 4},
-                    {"wait_ms", 2000}};
+  const json body = {{"cursor", 1},
+                     {"trainer_version", 1},
+                     {"max_samples", 4},
+                     {"wait_ms", 2000}};
   http_response first;
   ASSERT_TRUE(WaitUntil([&] {
     first = fleet_.Web().Post(fleet_.Callers("n3"),
-                              "/v1/pools/pool-a/steps/survive/pull", ask);
+                              "/v1/pools/pool-a/steps/survive/pull", body);
     return first.status == 200 && !BodyOf(first)["samples"].empty();
   }));
   fleet_.KillNode("n3");
   http_response again;
   ASSERT_TRUE(WaitUntil([&] {
     again = fleet_.Web().Post(fleet_.Callers("n1"),
-                              "/v1/pools/pool-a/steps/survive/pull", ask);
+                              "/v1/pools/pool-a/steps/survive/pull", body);
     return again.status == 200;
   })) << again.body;
   EXPECT_EQ(again.body, first.body);
 }
 
-// The coordinator freezes instead of dying. Another instance takes the step
-// over; when the old one wakes up it can't commit a batch any more, and no
-// sample comes twice.
+// The coordinator freezes and another instance takes over the step. When the
+// old coordinator resumes, it can't commit a batch any more, and no sample is
+// delivered twice.
 TEST_F(SamplesTest, FrozenCoordinatorIsReplacedAndRefused) {
   StartWith({{"e1"}, {"e2"}});
   const std::string frozen = fleet_.Leader() == "n3" ? "n2" : "n3";
@@ -268,8 +270,8 @@
   ExpectEachSlotOnce(outcome, 64);
 }
 
-// An instance that coordinates a step no more and goes on sending its own
-// bodies of all slots, which differ each time, to `node`.
+// Simulates an instance that no longer coordinates a step but continues to send
+// its own bodies of all slots, which differ each time, to `node`.
 class deposed_coordinator {
  public:
   deposed_coordinator(cluster& fleet, const std::string& node,
@@ -278,7 +280,7 @@
         copies_(std::move(copies)),
         thread_([this] { Run(); }) {}
   ~deposed_coordinator() {
-    is_over_ = true;
+    is_stopping_ = true;
     thread_.join();
   }
   deposed_coordinator(const deposed_coordinator&) = delete;
@@ -286,23 +288,23 @@
 
  private:
   void Run() {
-    for (size_t i = 0; !is_over_; ++i) {
-      const http_response held =
+    for (size_t i = 0; !is_stopping_; ++i) {
+      const http_response stored =
           web_.Post(address_, "/peer/v1/bodies", copies_[i % copies_.size()]);
-      EXPECT_EQ(held.status, 200) << held.body;
+      EXPECT_EQ(stored.status, 200) << stored.body;
     }
   }
 
   const std::string address_;
   const std::vector<json> copies_;
   web web_;
-  std::atomic<bool> is_over_{false};
-  std::thread thread_;  // last: it uses all of the above
+  std::atomic<bool> is_stopping_{false};
+  std::thread thread_;  // declared last because it uses the members above
 };
 
 class DeposedCoordinatorTest : public SamplesTest {
  protected:
-  // Bodies of 64 slots for the step "main", as other runs made them.
+  // Creates bodies of 64 slots of the step "main", as from other runs.
   std::vector<json> MakeCopies() {
     std::vector<json> copies;
     for (const char* other : {"first", "second"}) {
@@ -317,9 +319,9 @@
   }
 };
 
-// Guards against a pull that is answered 200 without a body: an instance that
-// coordinates the step no more sends its own bodies for the slots of a batch
-// that is being committed.
+// Guards against a pull that is answered 200 without a body: a deposed
+// coordinator sends its own bodies for the slots of a batch that is being
+// committed.
 TEST_F(DeposedCoordinatorTest, ItsBodiesEmptyNoBatch) {
   StartWith({{"e1"}, {"e2"}});
   const deposed_coordinator deposed(fleet_, "n1", MakeCopies());
@@ -331,8 +333,8 @@
   ExpectEachSlotOnce(outcome, 64);
 }
 
-// Guards against a batch whose bytes are lost to a repeated pull since a
-// coordinator that was deposed put its own bodies in their place.
+// Guards against a repeated pull that does not return the bytes of its batch
+// because a deposed coordinator has replaced them with its own bodies.
 TEST_F(DeposedCoordinatorTest, RepeatedPullGetsTheSameBytes) {
   StartWith({{"e1"}, {"e2"}});
   const std::vector<json> copies = MakeCopies();
@@ -358,8 +360,8 @@
   }
 }
 
-// One engine is ten times slower than the others. Copies of its samples race
-// with the originals; each slot still comes once.
+// One engine is ten times slower than the others. Hedged copies of its samples
+// run concurrently with the originals; each slot is still delivered once.
 TEST_F(SamplesTest, HedgedCopiesDeliverOneSampleEach) {
   StartWith(
       {{"e1"},
@@ -373,8 +375,8 @@
   ExpectCompleteLabels(outcome);
 }
 
-// The deadline of a step passes. A trainer that allows it gets the whole groups
-// that are complete and is told so; another one gets an error.
+// The deadline of a step expires. A trainer that allows partial results gets
+// the complete groups and a flag; another trainer gets an error.
 TEST_F(SamplesTest, DeadlinePasses) {
   StartWith({{"e1",
               "engine",
@@ -394,20 +396,20 @@
   Open("n1", strict);
   uint64_t cursor = 1;
   const auto pull = [&](const char* node) {
-    const json ask = {{"cursor", cursor},
-                      {"trainer_version", 1},
-                      {"max_samples", 40},
-                      {"wait_ms", 1000}};
+    const json body = {{"cursor", cursor},
+                       {"trainer_version", 1},
+                       {"max_samples", 40},
+                       {"wait_ms", 1000}};
     return fleet_.Web().Post(fleet_.Callers(node),
-                             "/v1/pools/pool-a/steps/strict/pull", ask);
+                             "/v1/pools/pool-a/steps/strict/pull", body);
   };
   EXPECT_TRUE(WaitUntil([&] {
     const http_response answer = pull("n1");
     if (answer.status == 200 && !BodyOf(answer)["samples"].empty()) ++cursor;
     return answer.status == 504;
   }));
-  // The answer was lost and the trainer asks again: a step that missed its
-  // deadline must not read as done.
+  // The response was lost and the trainer pulls again: a step that missed its
+  // deadline must not be reported as done.
   for (const char* node : {"n1", "n2"}) EXPECT_EQ(pull(node).status, 504);
 }
 
--- a/tests/integration/signals_test.cc
+++ b/tests/integration/signals_test.cc
@@ -1,4 +1,4 @@
-// Signals that come before a process is up.
+// Signals that arrive while a process starts.
 
 #include <gtest/gtest.h>
 #include <signal.h>
@@ -29,9 +29,9 @@
   return text.find(event) != std::string::npos;
 }
 
-// Guards against a process that is ended by SIGHUP, or not stopped in order by
-// SIGTERM, while it starts. Its settings come through a pipe, so that the
-// signals find it before it has read them.
+// Guards against a process that is terminated by SIGHUP, or not shut down
+// cleanly by SIGTERM, during its start. The settings are read from a pipe, so
+// that the signals arrive before the process has read them.
 TEST(SignalsTest, SignalsDuringTheStartWaitForTheLoop) {
   for (const int number : {SIGHUP, SIGTERM}) {
     const std::string folder = MakeTemporaryFolder();
@@ -39,15 +39,15 @@
     const std::string log = folder + "/e1.log";
     ASSERT_EQ(mkfifo(file.c_str(), S_IRUSR | S_IWUSR), 0);
     process starting({ProgramPath(), "--node_settings=" + file}, log);
-    std::ofstream pipe(file);  // waits for the reader
+    std::ofstream pipe(file);  // blocks until the process opens the pipe
     starting.Signal(number);
-    // What is read again is a file.
+    // A reload reads a regular file.
     std::filesystem::remove(file);
     std::ofstream(file) << kSettings;
     pipe << kSettings;
     pipe.close();
-    const std::string taken = number == SIGHUP ? "HK1009" : "HK1002";
-    EXPECT_TRUE(WaitUntil([&] { return HasEvent(log, taken); })) << number;
+    const std::string event = number == SIGHUP ? "HK1009" : "HK1002";
+    EXPECT_TRUE(WaitUntil([&] { return HasEvent(log, event); })) << number;
     starting.Signal(SIGTERM);
     EXPECT_EQ(starting.WaitForExit(std::chrono::milliseconds(30000)), 0)
         << number;
--- a/tests/integration/task_body_test.cc
+++ b/tests/integration/task_body_test.cc
@@ -1,5 +1,4 @@
-// What callers hear when they read the body of a task: all of its bytes, or
-// that it is not there.
+// Responses to reads of a task's body: the complete body, or an error.
 
 #include <gtest/gtest.h>
 
@@ -18,7 +17,8 @@
 constexpr int kOk = 200;
 constexpr int kNotFound = 404;
 constexpr int kUnavailable = 503;
-// A stream of this pace outlasts a test that does not wait for its end.
+// At this event interval, a stream takes longer than a test that does not wait
+// for its end.
 constexpr std::chrono::milliseconds kSlowEvents{2000};
 
 void ExpectBodies(deployment& fleet, const std::string& step, int status) {
@@ -32,7 +32,8 @@
   }
 }
 
-// Guards against an empty success for a body that was dropped with the result.
+// Guards against an empty 200 response for a body that was removed with the
+// result.
 TEST(TaskBodyTest, BodyOfATaskWithAResultIsNotFound) {
   deployment fleet;
   ASSERT_TRUE(fleet.Start());
@@ -42,7 +43,8 @@
   ExpectBodies(fleet, "listed", kNotFound);
 }
 
-// Guards against an empty success for a body that was dropped with its step.
+// Guards against an empty 200 response for a body that was removed with its
+// step.
 TEST(TaskBodyTest, BodyOfATaskOfAnEndedStepIsNotFound) {
   deployment fleet;
   ASSERT_TRUE(fleet.Start());
@@ -53,8 +55,7 @@
   ExpectBodies(fleet, "ended", kNotFound);
 }
 
-// Guards against bodies that change on their way through the log and its
-// replay.
+// Guards against bodies that are changed by the log and its replay.
 TEST(TaskBodyTest, BodiesOfOpenTasksOutliveAPowerCut) {
   deployment fleet;
   ASSERT_TRUE(fleet.Start());
@@ -71,18 +72,18 @@
   ExpectBodies(fleet, "ended", kNotFound);
 }
 
-// Reads the bodies of a step again and again until `is_over`. Counts the
-// answers that are neither the whole body nor a refusal.
+// Reads the bodies of a step repeatedly until `is_stopping` is set. Counts the
+// responses that are neither the complete body nor a rejection.
 class body_reader {
  public:
   body_reader(deployment& fleet, std::string entry)
       : fleet_(fleet), entry_(std::move(entry)), thread_([this] { Run(); }) {}
   ~body_reader() { thread_.join(); }
 
-  std::atomic<bool> is_over{false};
+  std::atomic<bool> is_stopping{false};
   std::atomic<int> step{0};
-  std::atomic<int> whole{0};
-  std::atomic<int> wrong{0};
+  std::atomic<int> complete_reads{0};
+  std::atomic<int> wrong_reads{0};
 
   static std::string StepId(int number) {
     return "step-" + std::to_string(number);
@@ -90,16 +91,16 @@
 
  private:
   void Run() {
-    for (int turn = 0; !is_over; ++turn) {
+    for (int turn = 0; !is_stopping; ++turn) {
       const std::string id = StepId(step);
       const int task = turn % kTasks;
       const auto answer = fleet_.ReadBody(entry_, id, task);
-      const bool is_whole =
+      const bool is_complete =
           answer.status == kOk && answer.body == deployment::BodyOf(id, task);
-      const bool is_refused =
+      const bool is_rejected =
           answer.status == kNotFound || answer.status == kUnavailable;
-      if (is_whole) ++whole;
-      if (!is_whole && !is_refused) ++wrong;
+      if (is_complete) ++complete_reads;
+      if (!is_complete && !is_rejected) ++wrong_reads;
     }
   }
 
@@ -108,8 +109,8 @@
   std::thread thread_;
 };
 
-// Guards against other bytes while results are listed, steps end and stores are
-// lost beside the reads.
+// Guards against incomplete or wrong bodies while results are listed, steps end
+// and stores are killed.
 TEST(TaskBodyTest, BodiesAreWholeOrRefusedWhileStepsEndAndStoresAreLost) {
   deployment fleet;
   ASSERT_TRUE(fleet.Start());
@@ -129,11 +130,11 @@
     fleet.KillNode(store);
     fleet.StartNode(store);
   }
-  first.is_over = true;
-  second.is_over = true;
-  EXPECT_EQ(first.wrong, 0);
-  EXPECT_EQ(second.wrong, 0);
-  EXPECT_GT(first.whole + second.whole, 0);
+  first.is_stopping = true;
+  second.is_stopping = true;
+  EXPECT_EQ(first.wrong_reads, 0);
+  EXPECT_EQ(second.wrong_reads, 0);
+  EXPECT_GT(first.complete_reads + second.complete_reads, 0);
 }
 
 }  // namespace
--- a/tests/integration/whole_path_test.cc
+++ b/tests/integration/whole_path_test.cc
@@ -1,5 +1,5 @@
-// A new user runs a rollout step: from opening it at one instance to the last
-// sample pulled from another, over real processes.
+// A user runs a rollout step with real processes, from opening it at one
+// instance to pulling the last sample from another one.
 
 #include <gtest/gtest.h>
 
@@ -29,10 +29,10 @@
   ExpectCompleteLabels(outcome);
 }
 
-// The trainer sees a short pause and no sample twice or missing. The
-// coordinator of the step is killed after the first batches; the next pull
-// finds it gone, another instance takes the step over under a higher epoch with
-// the bodies from the second zone, and generates only what is missing.
+// The coordinator of a step is killed after the first batches. Another instance
+// takes over the step under a higher epoch with the bodies from the second
+// zone, and generates only the missing samples. The trainer notices a short
+// pause and no duplicate or missing sample.
 TEST(WholePathTest, CoordinatorKilledInTheMiddleOfAStep) {
   cluster fleet(ThreeNodes());
   ASSERT_TRUE(fleet.Start(SmallConfiguration()));
@@ -56,8 +56,8 @@
   ExpectCompleteLabels(outcome);
 }
 
-// A caller gets a whole or a streamed generation, and a plain call, through any
-// instance.
+// A caller gets a complete or a streamed generation, and a plain call, through
+// any instance.
 TEST(WholePathTest, SingleGenerationsAndPlainCalls) {
   cluster fleet(ThreeNodes());
   ASSERT_TRUE(fleet.Start(SmallConfiguration()));
