--- a/tests/soak/fault_plan.cc
+++ b/tests/soak/fault_plan.cc
@@ -7,22 +7,23 @@
 
 using std::chrono::milliseconds;
 
-// Draws the faults of one series.
-class drawer {
+// Generates the random faults of one series.
+class fault_generator {
  public:
-  drawer(uint64_t seed, milliseconds length) : random_(seed), length_(length) {}
+  fault_generator(uint64_t seed, milliseconds length)
+      : random_(seed), length_(length) {}
 
-  fault_series Draw(std::string name, const std::vector<std::string>& nodes,
-                    const std::vector<fault_kind>& kinds,
-                    milliseconds longest_pause) {
+  fault_series Generate(std::string name, const std::vector<std::string>& nodes,
+                        const std::vector<fault_kind>& kinds,
+                        milliseconds max_pause) {
     fault_series series{std::move(name), {}};
     milliseconds at{0};
     for (;;) {
       fault next;
-      next.kind = Pick(kinds);
-      next.node = Pick(nodes);
-      next.pause = Time(longest_pause);
-      next.time = Time(milliseconds(2500));
+      next.kind = PickRandom(kinds);
+      next.node = PickRandom(nodes);
+      next.pause = RandomTime(max_pause);
+      next.time = RandomTime(milliseconds(2500));
       at += next.pause + next.time;
       if (at >= length_) return series;
       series.faults.push_back(next);
@@ -31,13 +32,13 @@
 
  private:
   template <typename Item>
-  const Item& Pick(const std::vector<Item>& items) {
+  const Item& PickRandom(const std::vector<Item>& items) {
     std::uniform_int_distribution<size_t> index(0, items.size() - 1);
     return items[index(random_)];
   }
 
-  milliseconds Time(milliseconds most) {
-    std::uniform_int_distribution<int64_t> time(0, most.count());
+  milliseconds RandomTime(milliseconds max) {
+    std::uniform_int_distribution<int64_t> time(0, max.count());
     return milliseconds(time(random_));
   }
 
@@ -45,7 +46,7 @@
   const milliseconds length_;
 };
 
-const char* Word(fault_kind kind) {
+const char* NameOf(fault_kind kind) {
   switch (kind) {
     case fault_kind::kKill:
       return "kill";
@@ -66,28 +67,30 @@
 }  // namespace
 
 std::ostream& operator<<(std::ostream& out, const fault& input) {
-  return out << "after " << input.pause.count() << " ms " << Word(input.kind)
+  return out << "after " << input.pause.count() << " ms " << NameOf(input.kind)
              << " " << input.node << " for " << input.time.count() << " ms";
 }
 
-std::vector<fault_series> DrawFaults(uint64_t seed, milliseconds length) {
+std::vector<fault_series> GenerateFaults(uint64_t seed, milliseconds length) {
   const std::vector<fault_kind> with_disk = {
       fault_kind::kKill, fault_kind::kStop, fault_kind::kFreeze,
       fault_kind::kLoseDisk};
   const std::vector<fault_kind> without = {fault_kind::kKill, fault_kind::kStop,
                                            fault_kind::kFreeze};
-  drawer draw(seed, length);
+  fault_generator generator(seed, length);
   std::vector<fault_series> plan;
+  plan.push_back(generator.Generate("stores", {"s1", "s2", "s3"}, with_disk,
+                                    milliseconds(2000)));
+  plan.push_back(generator.Generate("control", {"c1", "c2", "c3"}, with_disk,
+                                    milliseconds(2000)));
   plan.push_back(
-      draw.Draw("stores", {"s1", "s2", "s3"}, with_disk, milliseconds(2000)));
+      generator.Generate("entries", {"e1", "e2"}, without, milliseconds(3000)));
+  plan.push_back(generator.Generate("endpoints", {"echo", "engines"},
+                                    {fault_kind::kReplace},
+                                    milliseconds(1500)));
   plan.push_back(
-      draw.Draw("control", {"c1", "c2", "c3"}, with_disk, milliseconds(2000)));
-  plan.push_back(
-      draw.Draw("entries", {"e1", "e2"}, without, milliseconds(3000)));
-  plan.push_back(draw.Draw("endpoints", {"echo", "engines"},
-                           {fault_kind::kReplace}, milliseconds(1500)));
-  plan.push_back(draw.Draw("power", {"s1", "s2", "s3", "c1", "c2", "c3"},
-                           {fault_kind::kPowerCut}, milliseconds(20000)));
+      generator.Generate("power", {"s1", "s2", "s3", "c1", "c2", "c3"},
+                         {fault_kind::kPowerCut}, milliseconds(20000)));
   return plan;
 }
 
--- a/tests/soak/fault_plan.h
+++ b/tests/soak/fault_plan.h
@@ -1,7 +1,7 @@
 #ifndef HICKORYWOOD_TESTS_SOAK_FAULT_PLAN_H_
 #define HICKORYWOOD_TESTS_SOAK_FAULT_PLAN_H_
 
-// The faults of one soak, drawn from a seed before it starts.
+// The faults of one soak test, generated from a seed before the test starts.
 
 #include <chrono>
 #include <cstdint>
@@ -12,33 +12,33 @@
 namespace hickorywood::testing {
 
 enum class fault_kind {
-  kKill,      // SIGKILL, and a start
-  kStop,      // SIGTERM, and a start once it has ended
-  kFreeze,    // SIGSTOP for `time`
-  kLoseDisk,  // SIGKILL, an empty disk, and a start
-  kReplace,   // an endpoint ends, another one comes
-  kPowerCut,  // all instances are killed at once, `node` loses its disk
+  kKill,      // SIGKILL, then restart
+  kStop,      // SIGTERM, then restart after the process has exited
+  kFreeze,    // SIGSTOP for `time`, then SIGCONT
+  kLoseDisk,  // SIGKILL, removal of the data folder, then restart
+  kReplace,   // an endpoint terminates and a new one starts
+  kPowerCut,  // all instances are killed and restarted; `node` loses its disk
 };
 
 struct fault {
   fault_kind kind = fault_kind::kKill;
   std::string node;
-  std::chrono::milliseconds pause{0};  // before it
-  std::chrono::milliseconds time{0};   // until the node is back
+  std::chrono::milliseconds pause{0};  // before the fault
+  std::chrono::milliseconds time{0};   // until the node is restarted or resumed
 };
 std::ostream& operator<<(std::ostream& out, const fault& input);
 
-// Faults that come one after the other. Series run side by side; within one,
-// the next fault waits until the one before is borne.
+// A sequence of faults. Series run concurrently; within a series, the next
+// fault starts only after the system has recovered from the previous one.
 struct fault_series {
   std::string name;
   std::vector<fault> faults;
 };
 
-// One series for the stores, the control instances, the entries, the endpoints,
-// and power cuts of them all.
-std::vector<fault_series> DrawFaults(uint64_t seed,
-                                     std::chrono::milliseconds length);
+// Generates one series each for the stores, the control instances, the entries
+// and the endpoints, and one of power cuts of all instances.
+std::vector<fault_series> GenerateFaults(uint64_t seed,
+                                         std::chrono::milliseconds length);
 
 }  // namespace hickorywood::testing
 
--- a/tests/soak/soak_callers.cc
+++ b/tests/soak/soak_callers.cc
@@ -9,14 +9,14 @@
 using nlohmann::json;
 using std::chrono::milliseconds;
 
-constexpr milliseconds kPatience{3000};
+constexpr milliseconds kRequestTimeout{3000};
 constexpr milliseconds kConfigPause{400};
-// A caller reads a step so often before it ends it, complete or not.
-constexpr int kReadsOfAStep = 60;
+// Maximum number of reads of a step before its caller ends it, complete or not.
+constexpr int kMaxReadsPerStep = 60;
 constexpr milliseconds kReadPause{100};
-constexpr milliseconds kFinalLimit{60000};
+constexpr milliseconds kFinalTimeout{60000};
 
-bool SaysNotRun(int status) {
+bool IsNotRunStatus(int status) {
   return status == 408 || status == 421 || status == 429 || status == 503;
 }
 
@@ -28,22 +28,20 @@
 
 }  // namespace
 
-void violations::Add(const std::string& text) {
+void violation_log::Add(const std::string& text) {
   const std::lock_guard<std::mutex> lock(mutex_);
   list_.push_back(text);
 }
 
-std::vector<std::string> violations::List() const {
+std::vector<std::string> violation_log::List() const {
   const std::lock_guard<std::mutex> lock(mutex_);
   return list_;
 }
 
-// --- Plain requests.
-
-plain_caller::plain_caller(deployment& fleet, violations& wrong,
+plain_caller::plain_caller(deployment& fleet, violation_log& errors,
                            std::string name, uint64_t seed)
     : fleet_(fleet),
-      wrong_(wrong),
+      errors_(errors),
       name_(std::move(name)),
       random_(seed),
       thread_([this] { Run(); }) {}
@@ -58,7 +56,7 @@
 }
 
 void plain_caller::Run() {
-  for (int number = 0; !is_over_; ++number) {
+  for (int number = 0; !is_stopping_; ++number) {
     const std::string id = name_ + "-" + std::to_string(number);
     const std::string body = id + " " + std::to_string(random_());
     const bool is_single = random_() % 3 == 0;
@@ -66,7 +64,7 @@
     transport::http_request input = fleet_.MakeRequest(
         random_() % 2 == 0 ? "e1" : "e2", is_single ? "/u/x" : "/p/x", id);
     input.body = body;
-    input.total_timeout = kPatience;
+    input.total_timeout = kRequestTimeout;
     Check(id, body, web_.Send(std::move(input)));
   }
 }
@@ -74,21 +72,19 @@
 void plain_caller::Check(const std::string& id, const std::string& body,
                          const transport::http_response& answer) {
   if (answer.how != transport::delivery::kAnswered) return;
-  if (SaysNotRun(answer.status)) refused_.insert(id);
+  if (IsNotRunStatus(answer.status)) rejected_.insert(id);
   if (answer.status / 100 != 2) return;
   ++served_;
   const bool is_own = answer.body == "echo " + body &&
                       answer.Header("X-Request-Id") == id &&
                       answer.Header("X-Response-Stamp") == "signed";
-  if (!is_own) wrong_.Add("request " + id + " got " + Describe(answer));
+  if (!is_own) errors_.Add("request " + id + " got " + Describe(answer));
 }
 
-// --- Steps.
-
-step_caller::step_caller(deployment& fleet, violations& wrong, std::string name,
-                         uint64_t seed)
+step_caller::step_caller(deployment& fleet, violation_log& errors,
+                         std::string name, uint64_t seed)
     : fleet_(fleet),
-      wrong_(wrong),
+      errors_(errors),
       name_(std::move(name)),
       random_(seed),
       thread_([this] { Run(); }) {}
@@ -107,18 +103,18 @@
 }
 
 void step_caller::Run() {
-  for (int number = 0; !is_over_; ++number) {
+  for (int number = 0; !is_stopping_; ++number) {
     RunStep(name_ + "-" + std::to_string(number));
   }
 }
 
 void step_caller::RunStep(const std::string& step) {
   if (!fleet_.Submit(DrawEntry(), step, kTasks)) {
-    wrong_.Add("step " + step + " was not accepted");
+    errors_.Add("step " + step + " was not accepted");
     return;
   }
   step_record& record = steps_[step];
-  for (int turn = 0; turn < kReadsOfAStep; ++turn) {
+  for (int turn = 0; turn < kMaxReadsPerStep; ++turn) {
     const size_t known = record.results.size();
     const size_t after = random_() % 4 == 0 ? random_() % (known + 1) : known;
     Read(DrawEntry(), step, after);
@@ -127,7 +123,7 @@
     std::this_thread::sleep_for(kReadPause);
   }
   if (record.results.size() == kTasks) ++completed_;
-  // Some stay open, for the end.
+  // Some steps stay open until CheckAll().
   if (random_() % 4 == 0) return;
   record.is_ended = fleet_.End(DrawEntry(), step);
   ReadBody(DrawEntry(), step, static_cast<int>(random_() % kTasks));
@@ -142,46 +138,46 @@
       fleet_.ReadResults(entry, step, after);
   if (answer.how != transport::delivery::kAnswered) return false;
   if (answer.status == 404) {
-    wrong_.Add("step " + step + " is not found at " + entry);
+    errors_.Add("step " + step + " is not found at " + entry);
   }
   if (answer.status != 200) return false;
   const json page = BodyOf(answer);
   const bool is_page = page.is_object() && page.value("total", 0) == kTasks &&
                        page["results"].is_array();
   if (!is_page) {
-    wrong_.Add("step " + step + " reads as " + Describe(answer));
+    errors_.Add("step " + step + " reads as " + Describe(answer));
     return false;
   }
   for (size_t i = 0; i < page["results"].size(); ++i) {
-    TakeResult(step, after + i, page["results"][i]);
+    CheckResult(step, after + i, page["results"][i]);
   }
   return true;
 }
 
-void step_caller::TakeResult(const std::string& step, size_t position,
-                             const json& result) {
+void step_caller::CheckResult(const std::string& step, size_t position,
+                              const json& result) {
   std::map<size_t, json>& known = steps_[step].results;
   const auto [found, is_new] = known.emplace(position, result);
   if (!is_new) {
     if (found->second != result) {
-      wrong_.Add("position " + std::to_string(position) + " of " + step +
-                 " changed");
+      errors_.Add("position " + std::to_string(position) + " of " + step +
+                  " changed");
     }
     return;
   }
   const std::string id = result.value("id", "");
-  // Given up is allowed only at the end of a step here.
+  // In these tests, a task may be terminated only by the end of its step.
   if (result.value("state", "") != "completed") {
-    if (!steps_[step].is_ended) wrong_.Add("task " + id + " was given up");
+    if (!steps_[step].is_ended) errors_.Add("task " + id + " was terminated");
     return;
   }
-  const bool is_whole =
+  const bool is_ok =
       result.value("output", "") == stand_in_endpoints::OutputOf(id) &&
       result.value("versions", json()) == json({1});
-  if (!is_whole) wrong_.Add("task " + id + " has the result " + result.dump());
+  if (!is_ok) errors_.Add("task " + id + " has the result " + result.dump());
   for (const auto& [other, item] : known) {
     if (other != position && item.value("id", "") == id) {
-      wrong_.Add("task " + id + " stands twice");
+      errors_.Add("task " + id + " is listed twice");
     }
   }
 }
@@ -199,17 +195,17 @@
   const transport::http_response answer = fleet_.ReadBody(entry, step, task);
   if (answer.how != transport::delivery::kAnswered) return;
   const std::string id = deployment::TaskId(step, task);
-  const bool is_whole =
+  const bool is_ok =
       answer.status == 200 && answer.body == deployment::BodyOf(step, task);
-  const bool is_refused = answer.status == 503 || answer.status == 404;
-  if (!is_whole && !is_refused) {
-    wrong_.Add("the body of " + id + " reads as " + Describe(answer));
+  const bool is_rejected = answer.status == 503 || answer.status == 404;
+  if (!is_ok && !is_rejected) {
+    errors_.Add("the body of " + id + " reads as " + Describe(answer));
   }
   if (answer.status != 404 || steps_[step].is_ended) return;
-  // It is gone only with a result.
+  // A body is removed only when its task has a result.
   const bool is_read = WaitUntil([&] { return Read(entry, step, 0); });
   if (is_read && !IsListed(step, id)) {
-    wrong_.Add("the body of " + id + " is not found and it has no result");
+    errors_.Add("the body of " + id + " is not found and it has no result");
   }
 }
 
@@ -224,18 +220,16 @@
             return is_read &&
                    (record.is_ended || record.results.size() == kTasks);
           },
-          kFinalLimit);
+          kFinalTimeout);
       if (!is_complete) {
-        wrong_.Add("step " + step + " is not complete at " + entry);
+        errors_.Add("step " + step + " is not complete at " + entry);
       }
     }
   }
 }
 
-// --- The configuration.
-
-config_caller::config_caller(deployment& fleet, violations& wrong)
-    : fleet_(fleet), wrong_(wrong), thread_([this] { Run(); }) {}
+config_caller::config_caller(deployment& fleet, violation_log& errors)
+    : fleet_(fleet), errors_(errors), thread_([this] { Run(); }) {}
 
 config_caller::~config_caller() {
   Stop();
@@ -247,15 +241,15 @@
 }
 
 void config_caller::Run() {
-  while (!is_over_) {
+  while (!is_stopping_) {
     const int version = acknowledged_ + 1;
     if (!fleet_.PutConfiguration(version, true)) continue;
     acknowledged_ = version;
     for (const std::string& control : fleet_.Controls()) {
-      const int held = fleet_.VersionAt(control);
-      if (held != 0 && held < version) {
-        wrong_.Add(control + " reads version " + std::to_string(held) +
-                   " after " + std::to_string(version));
+      const int current = fleet_.VersionAt(control);
+      if (current != 0 && current < version) {
+        errors_.Add(control + " reads version " + std::to_string(current) +
+                    " after " + std::to_string(version));
       }
     }
     std::this_thread::sleep_for(kConfigPause);
@@ -264,13 +258,13 @@
 
 void config_caller::CheckAll() {
   for (const std::string& control : fleet_.Controls()) {
-    const bool is_there =
+    const bool is_current =
         WaitUntil([&] { return fleet_.VersionAt(control) == acknowledged_; },
-                  kFinalLimit);
-    if (!is_there) {
-      wrong_.Add(control + " reads version " +
-                 std::to_string(fleet_.VersionAt(control)) + " and not " +
-                 std::to_string(acknowledged_));
+                  kFinalTimeout);
+    if (!is_current) {
+      errors_.Add(control + " reads version " +
+                  std::to_string(fleet_.VersionAt(control)) + " and not " +
+                  std::to_string(acknowledged_));
     }
   }
 }
--- a/tests/soak/soak_callers.h
+++ b/tests/soak/soak_callers.h
@@ -1,8 +1,9 @@
 #ifndef HICKORYWOOD_TESTS_SOAK_SOAK_CALLERS_H_
 #define HICKORYWOOD_TESTS_SOAK_SOAK_CALLERS_H_
 
-// Callers that use a deployment all the time and check each answer they get:
-// whole, their own, and true. They are refused at times, and never told wrong.
+// Callers that continuously use a deployment and check each response: it must
+// be complete, correct, and the response to their own request. Rejections are
+// allowed, wrong responses are not.
 
 #include <atomic>
 #include <cstdint>
@@ -18,8 +19,8 @@
 
 namespace hickorywood::testing {
 
-// What callers saw that must not be.
-class violations {
+// Thread-safe list of the violations that callers have detected.
+class violation_log {
  public:
   void Add(const std::string& text);
   std::vector<std::string> List() const;
@@ -29,19 +30,19 @@
   std::vector<std::string> list_;
 };
 
-// Sends plain requests over connections that it keeps, some of which may run
-// once at most.
+// Sends plain requests over persistent connections. Some of the requests may
+// run at most once.
 class plain_caller {
  public:
-  plain_caller(deployment& fleet, violations& wrong, std::string name,
+  plain_caller(deployment& fleet, violation_log& errors, std::string name,
                uint64_t seed);
   ~plain_caller();
 
-  void Stop() { is_over_ = true; }
+  void Stop() { is_stopping_ = true; }
   int Served() const { return served_; }
-  // Valid once the thread has ended. Ids of requests that were answered "not
-  // run", and of those that may run once.
-  const std::set<std::string>& Refused() const { return refused_; }
+  // Valid after Join(). The ids of requests that were answered "not run", and
+  // of requests that may run at most once.
+  const std::set<std::string>& Rejected() const { return rejected_; }
   const std::set<std::string>& Single() const { return single_; }
   void Join();
 
@@ -51,28 +52,28 @@
              const transport::http_response& answer);
 
   deployment& fleet_;
-  violations& wrong_;
+  violation_log& errors_;
   const std::string name_;
   std::mt19937_64 random_;
-  std::set<std::string> refused_;
+  std::set<std::string> rejected_;
   std::set<std::string> single_;
   std::atomic<int> served_{0};
-  std::atomic<bool> is_over_{false};
+  std::atomic<bool> is_stopping_{false};
   web web_;
-  std::thread thread_;  // last: it uses all of the above
+  std::thread thread_;  // declared last because it uses the members above
 };
 
 // Submits steps, reads their results and bodies at all entries, and ends them.
 class step_caller {
  public:
-  step_caller(deployment& fleet, violations& wrong, std::string name,
+  step_caller(deployment& fleet, violation_log& errors, std::string name,
               uint64_t seed);
   ~step_caller();
 
-  void Stop() { is_over_ = true; }
+  void Stop() { is_stopping_ = true; }
   void Join();
   int Completed() const { return completed_; }
-  // Reads all steps once more, after the faults.
+  // Reads all steps again. Called after the last fault.
   void CheckAll();
 
  private:
@@ -83,10 +84,10 @@
 
   void Run();
   void RunStep(const std::string& step);
-  // Reads the results from a position on. False: no answer came.
+  // Reads the results after a position. Returns false if the read failed.
   bool Read(const std::string& entry, const std::string& step, size_t after);
-  void TakeResult(const std::string& step, size_t position,
-                  const nlohmann::json& result);
+  void CheckResult(const std::string& step, size_t position,
+                   const nlohmann::json& result);
   void ReadBody(const std::string& entry, const std::string& step, int task);
   bool IsListed(const std::string& step, const std::string& task) const;
   std::string DrawEntry();
@@ -94,24 +95,25 @@
   static constexpr int kTasks = 6;
 
   deployment& fleet_;
-  violations& wrong_;
+  violation_log& errors_;
   const std::string name_;
   std::mt19937_64 random_;
   std::map<std::string, step_record> steps_;
   std::atomic<int> completed_{0};
-  std::atomic<bool> is_over_{false};
-  std::thread thread_;  // last: it uses all of the above
+  std::atomic<bool> is_stopping_{false};
+  std::thread thread_;  // declared last because it uses the members above
 };
 
 // Changes the configuration and reads it back.
 class config_caller {
  public:
-  config_caller(deployment& fleet, violations& wrong);
+  config_caller(deployment& fleet, violation_log& errors);
   ~config_caller();
 
-  void Stop() { is_over_ = true; }
+  void Stop() { is_stopping_ = true; }
   void Join();
-  // Reads at all control instances, after the faults.
+  // Reads the configuration from all control instances. Called after the last
+  // fault.
   void CheckAll();
   int Acknowledged() const { return acknowledged_; }
 
@@ -119,10 +121,10 @@
   void Run();
 
   deployment& fleet_;
-  violations& wrong_;
+  violation_log& errors_;
   std::atomic<int> acknowledged_{1};
-  std::atomic<bool> is_over_{false};
-  std::thread thread_;  // last: it uses all of the above
+  std::atomic<bool> is_stopping_{false};
+  std::thread thread_;  // declared last because it uses the members above
 };
 
 }  // namespace hickorywood::testing
--- a/tests/soak/soak_test.cc
+++ b/tests/soak/soak_test.cc
@@ -1,6 +1,6 @@
-// A deployment of real processes under drawn faults that come in series and
-// overlap, before endpoints of which some answer twice. Callers check each
-// answer while it runs.
+// Runs a deployment of real processes under random faults in concurrent series,
+// with endpoints of which some send two responses. Callers check each response
+// meanwhile.
 
 #include <gtest/gtest.h>
 #include <signal.h>
@@ -25,36 +25,36 @@
 
 constexpr int kPlainCallers = 6;
 constexpr int kStepCallers = 4;
-constexpr milliseconds kStopLimit{40000};
+constexpr milliseconds kStopTimeout{40000};
 
-uint64_t FromEnvironment(const char* name, uint64_t otherwise) {
+uint64_t FromEnvironment(const char* name, uint64_t fallback) {
   const char* const text = std::getenv(name);
-  return text == nullptr ? otherwise : std::stoull(text);
+  return text == nullptr ? fallback : std::stoull(text);
 }
 
-// Plays a plan. A power cut waits for the faults under way, and none begins
-// while one is played.
-class fault_player {
+// Injects the faults of a plan. A power cut waits until the running faults are
+// finished, and no other fault starts during a power cut.
+class fault_injector {
  public:
-  fault_player(deployment& fleet, stuttering_fleet& endpoints,
-               violations& wrong)
-      : fleet_(fleet), endpoints_(endpoints), wrong_(wrong) {}
+  fault_injector(deployment& fleet, stuttering_fleet& endpoints,
+                 violation_log& errors)
+      : fleet_(fleet), endpoints_(endpoints), errors_(errors) {}
 
-  void Play(const fault_series& series) {
+  void Inject(const fault_series& series) {
     for (const fault& item : series.faults) {
       std::this_thread::sleep_for(item.pause);
       if (item.kind == fault_kind::kPowerCut) {
-        const std::unique_lock<std::shared_mutex> alone(faults_);
-        PlayOne(item);
+        const std::unique_lock<std::shared_mutex> exclusive(faults_);
+        InjectOne(item);
       } else {
-        const std::shared_lock<std::shared_mutex> beside(faults_);
-        PlayOne(item);
+        const std::shared_lock<std::shared_mutex> shared(faults_);
+        InjectOne(item);
       }
     }
   }
 
  private:
-  void PlayOne(const fault& item) {
+  void InjectOne(const fault& item) {
     switch (item.kind) {
       case fault_kind::kKill:
         fleet_.KillNode(item.node);
@@ -62,13 +62,14 @@
         fleet_.StartNode(item.node);
         break;
       case fault_kind::kStop: {
-        // Before its first line a process has nothing by which to take it.
+        // Before it logs its start, a process may not have installed its
+        // handler of SIGTERM yet.
         const bool is_up = fleet_.HasStarted(item.node);
         fleet_.Node(item.node).Signal(SIGTERM);
-        const auto code = fleet_.Node(item.node).WaitForExit(kStopLimit);
-        const bool is_planned = code == 0 || (!is_up && code == -SIGTERM);
-        if (!is_planned) {
-          wrong_.Add(item.node + " did not end with 0 when it was stopped");
+        const auto code = fleet_.Node(item.node).WaitForExit(kStopTimeout);
+        const bool is_clean = code == 0 || (!is_up && code == -SIGTERM);
+        if (!is_clean) {
+          errors_.Add(item.node + " did not end with 0 when it was stopped");
         }
         std::this_thread::sleep_for(item.time);
         fleet_.StartNode(item.node);
@@ -85,7 +86,7 @@
         fleet_.LoseDisk(item.node);
         std::this_thread::sleep_for(item.time);
         fleet_.StartNode(item.node);
-        ExpectVote(item.node, identities);
+        ExpectVoterAgain(item.node, identities);
         break;
       }
       case fault_kind::kReplace:
@@ -94,38 +95,40 @@
       case fault_kind::kPowerCut: {
         const size_t identities = fleet_.CountVoterIdentities(item.node);
         fleet_.CutPower(item.node);
-        ExpectVote(item.node, identities);
+        ExpectVoterAgain(item.node, identities);
         break;
       }
     }
   }
 
-  // A second disk may be lost only once this one is borne.
-  void ExpectVote(const std::string& node, size_t identities) {
+  // Waits until the node is a voter again. A second disk may be lost only after
+  // that.
+  void ExpectVoterAgain(const std::string& node, size_t identities) {
     const bool votes = WaitUntil(
         [&] { return fleet_.CountVoterIdentities(node) > identities; },
-        kStopLimit);
-    if (!votes) wrong_.Add(node + " does not vote again after a lost disk");
+        kStopTimeout);
+    if (!votes) errors_.Add(node + " does not vote again after a lost disk");
   }
 
   deployment& fleet_;
   stuttering_fleet& endpoints_;
-  violations& wrong_;
+  violation_log& errors_;
   std::shared_mutex faults_;
 };
 
-// What was said not to run has not, and what may run once has at most once.
+// Checks that requests answered "not run" did not run, and that requests that
+// may run at most once did so.
 void CheckRuns(const std::list<plain_caller>& callers, deployment& fleet,
-               stuttering_fleet& endpoints, violations& wrong) {
+               stuttering_fleet& endpoints, violation_log& errors) {
   const auto runs = [&](const std::string& id) {
     return fleet.Endpoints().RunsOf(id) + endpoints.RunsOf(id);
   };
   for (const plain_caller& caller : callers) {
-    for (const std::string& id : caller.Refused()) {
-      if (runs(id) > 0) wrong.Add(id + " was said not to run, and has run");
+    for (const std::string& id : caller.Rejected()) {
+      if (runs(id) > 0) errors.Add(id + " was answered not run but ran");
     }
     for (const std::string& id : caller.Single()) {
-      if (runs(id) > 1) wrong.Add(id + " has run twice");
+      if (runs(id) > 1) errors.Add(id + " has run twice");
     }
   }
 }
@@ -133,7 +136,7 @@
 TEST(SoakTest, PromisesHoldUnderDrawnFaults) {
   const uint64_t seed = FromEnvironment("SOAK_SEED", 1);
   const std::chrono::seconds length(FromEnvironment("SOAK_SECONDS", 30));
-  const std::vector<fault_series> plan = DrawFaults(seed, length);
+  const std::vector<fault_series> plan = GenerateFaults(seed, length);
   std::cout << "seed " << seed << ", " << length.count() << " s\n";
   for (const fault_series& series : plan) {
     for (const fault& item : series.faults) {
@@ -147,20 +150,20 @@
     endpoints.Start(service);
   }
   ASSERT_TRUE(fleet.Start());
-  violations wrong;
+  violation_log errors;
   std::list<plain_caller> plain;
   std::list<step_caller> steps;
-  config_caller config(fleet, wrong);
+  config_caller config(fleet, errors);
   for (int i = 0; i < kPlainCallers; ++i) {
-    plain.emplace_back(fleet, wrong, "p" + std::to_string(i), seed + i);
+    plain.emplace_back(fleet, errors, "p" + std::to_string(i), seed + i);
   }
   for (int i = 0; i < kStepCallers; ++i) {
-    steps.emplace_back(fleet, wrong, "s" + std::to_string(i), seed + i);
+    steps.emplace_back(fleet, errors, "s" + std::to_string(i), seed + i);
   }
-  fault_player player(fleet, endpoints, wrong);
+  fault_injector injector(fleet, endpoints, errors);
   std::vector<std::thread> series;
   for (const fault_series& item : plan) {
-    series.emplace_back([&player, &item] { player.Play(item); });
+    series.emplace_back([&injector, &item] { injector.Inject(item); });
   }
   for (std::thread& one : series) one.join();
   for (plain_caller& one : plain) one.Stop();
@@ -171,7 +174,7 @@
   config.Join();
   for (step_caller& one : steps) one.CheckAll();
   config.CheckAll();
-  CheckRuns(plain, fleet, endpoints, wrong);
+  CheckRuns(plain, fleet, endpoints, errors);
   int served = 0;
   int completed = 0;
   for (const plain_caller& one : plain) served += one.Served();
@@ -181,7 +184,7 @@
             << "\n";
   EXPECT_GT(served, 0);
   EXPECT_GT(completed, 0);
-  for (const std::string& item : wrong.List()) ADD_FAILURE() << item;
+  for (const std::string& item : errors.List()) ADD_FAILURE() << item;
 }
 
 }  // namespace
--- a/tests/soak/stuttering_fleet.cc
+++ b/tests/soak/stuttering_fleet.cc
@@ -13,11 +13,11 @@
 using nlohmann::json;
 using std::chrono::milliseconds;
 
-// Times that a request takes: most are over before a second answer comes, and
-// some run into it.
+// Processing times of a request: most are shorter than the delay of a second
+// response, and some overlap it.
 constexpr milliseconds kWorkTimes[] = {milliseconds(1), milliseconds(5),
                                        milliseconds(30), milliseconds(250)};
-constexpr int kElsewhere = 421;
+constexpr int kMisdirected = 421;
 
 }  // namespace
 
@@ -59,37 +59,37 @@
 }
 
 void stuttering_fleet::Open(const std::string& service) {
-  auto fresh = std::make_shared<endpoint>();
-  fresh->service = service;
-  // Holds its endpoint, until the server is taken off it.
-  fresh->server = std::make_unique<net::stuttering_server>(
-      loop_, [this](const net::request&) { return DrawScript(); },
-      [this, self = fresh](const net::request& input, int /*count*/,
-                           bool is_second) {
+  auto created = std::make_shared<endpoint>();
+  created->service = service;
+  // The server's callback owns the endpoint until the server is reset.
+  created->server = std::make_unique<net::stuttering_server>(
+      loop_, [this](const net::request&) { return RandomScript(); },
+      [this, self = created](const net::request& input, int /*count*/,
+                             bool is_second) {
         return Answer(*self, input, is_second);
       });
-  fresh->address = fresh->server->Address();
+  created->address = created->server->Address();
   const std::lock_guard<std::mutex> lock(mutex_);
-  fresh->incarnation = "i-twice-" + std::to_string(started_++);
-  endpoints_[fresh->incarnation] = fresh;
+  created->incarnation = "i-twice-" + std::to_string(started_++);
+  endpoints_[created->incarnation] = created;
 }
 
 void stuttering_fleet::Replace(const std::string& service) {
   OnLoop([this, &service] {
-    std::shared_ptr<endpoint> ending;
+    std::shared_ptr<endpoint> terminated;
     {
       const std::lock_guard<std::mutex> lock(mutex_);
       for (const auto& [incarnation, item] : endpoints_) {
-        if (item->service == service) ending = item;
+        if (item->service == service) terminated = item;
       }
-      if (ending) endpoints_.erase(ending->incarnation);
+      if (terminated) endpoints_.erase(terminated->incarnation);
     }
-    if (ending) ending->server.reset();
+    if (terminated) terminated->server.reset();
     Open(service);
   });
 }
 
-net::stutter stuttering_fleet::DrawScript() {
+net::stutter stuttering_fleet::RandomScript() {
   const std::lock_guard<std::mutex> lock(mutex_);
   net::stutter script = scripts_[random_() % scripts_.size()];
   if (random_() % 2 == 0) script.moment = net::second_moment::kNever;
@@ -102,7 +102,7 @@
                                               bool is_second) {
   const std::lock_guard<std::mutex> lock(mutex_);
   if (net::Find(input.headers, "X-Expect-Instance") != self.incarnation) {
-    return {kElsewhere, ""};
+    return {kMisdirected, ""};
   }
   if (input.target == "/v1/report") {
     const json models = json::array({{{"name", "m"}, {"version", 1}}});
--- a/tests/soak/stuttering_fleet.h
+++ b/tests/soak/stuttering_fleet.h
@@ -1,8 +1,9 @@
 #ifndef HICKORYWOOD_TESTS_SOAK_STUTTERING_FLEET_H_
 #define HICKORYWOOD_TESTS_SOAK_STUTTERING_FLEET_H_
 
-// Endpoints that answer twice, in ways that are drawn for each request. They
-// answer the same as the stand-ins of a deployment.
+// Endpoints that send two responses, in a random way for each request. The
+// content of the responses is the same as that of the simulated endpoints of a
+// deployment.
 
 #include <boost/asio/io_context.hpp>
 #include <cstdint>
@@ -25,19 +26,19 @@
   stuttering_fleet& operator=(const stuttering_fleet&) = delete;
 
   void Start(const std::string& service);
-  // Ends an endpoint of the service with all its connections and starts
-  // another one.
+  // Terminates an endpoint of the service with all its connections and starts a
+  // new one.
   void Replace(const std::string& service);
-  // The bodies of the next heartbeats, by incarnation.
+  // Returns the bodies of the next heartbeats, by incarnation.
   std::map<std::string, std::string> Heartbeats();
-  // How often a request of this id was run.
+  // Returns the number of times that a request with this id was run.
   int RunsOf(const std::string& request_id);
 
  private:
   struct endpoint;
 
   void Open(const std::string& service);
-  net::stutter DrawScript();
+  net::stutter RandomScript();
   net::scripted_answer Answer(endpoint& self, const net::request& input,
                               bool is_second);
   void OnLoop(const std::function<void()>& work);
@@ -49,7 +50,7 @@
   std::map<std::string, std::shared_ptr<endpoint>> endpoints_;
   std::map<std::string, int> runs_;
   int started_ = 0;
-  std::thread thread_;  // last: it uses all of the above
+  std::thread thread_;  // declared last because it uses the members above
 };
 
 }  // namespace hickorywood::testing
