--- a/bench/bench_answers.cc
+++ b/bench/bench_answers.cc
@@ -1,6 +1,6 @@
-// What it costs that answers must prove whose they are: connections, latency
-// and processor time of plain requests and of tasks, with endpoints that answer
-// each request once.
+// Measures the cost of verifying that each response belongs to its request:
+// connections, latency and CPU time of plain requests and of tasks, with
+// endpoints that send one response to each request.
 
 #include <fstream>
 #include <sstream>
@@ -17,10 +17,11 @@
 
 constexpr int kRequests = 3000;
 constexpr int kSteps = 4;
-constexpr int kTasks = 96;  // of each step
+constexpr int kTasks = 96;  // per step
 constexpr double kPerThousand = 1000;
 
-// Connections that processes of this machine have opened so far.
+// Returns the number of connections that processes of this machine have opened
+// since boot.
 double ConnectionsOpened() {
   std::ifstream counters("/proc/net/snmp");
   std::string names;
@@ -78,7 +79,8 @@
 void MeasureAnswers(figures& out) {
   deployment fleet;
   if (!fleet.Start()) return;
-  // All connections of the instances are open after a step and some requests.
+  // A step and some requests open all connections between the instances before
+  // the measurement.
   fleet.Submit("e1", "warm", kTasks);
   fleet.WaitForResults("e2", "warm", kTasks);
   MeasurePlain(fleet, out);
--- a/bench/bench_control.cc
+++ b/bench/bench_control.cc
@@ -1,5 +1,5 @@
-// The control group: commits, configuration changes, loss of the leader,
-// catching up, cost when idle.
+// Measures the control group: commits, configuration changes, loss of the
+// leader, catch-up and cost when idle.
 
 #include <fcntl.h>
 #include <signal.h>
@@ -34,7 +34,8 @@
   return nodes;
 }
 
-// A command that no instance's view depends on: what is measured is the commit.
+// A command that does not change any instance's view, so that only the commit
+// is measured.
 json ClaimCommand(int64_t number) {
   constexpr int kClaim = 3;  // control::command_kind
   return {{"kind", kClaim},
@@ -70,8 +71,8 @@
   return Percentile(times, 0.5);
 }
 
-// Commits one at a time, and many at once. The client's own round trip to the
-// leader is taken off.
+// Measures commits one at a time and concurrently. The client's round trip to
+// the leader is subtracted.
 void MeasureCommits(figures& out, int voters, const std::string& suffix) {
   cluster fleet(Nodes(voters, 0), "", {}, true);
   if (!fleet.Start(testing::SmallConfiguration())) return;
@@ -152,8 +153,8 @@
   }
 }
 
-// From the loss of the leader until a proposal through another instance is
-// committed.
+// Measures the time from the loss of the leader until a proposal through
+// another instance is committed.
 void MeasureLeaderless(figures& out, int signal_number,
                        const std::string& name) {
   std::vector<double> runs;
@@ -181,8 +182,8 @@
   out.AddRuns(name, runs, "ms");
 }
 
-// Announces `count` endpoints, and again and again like they would, until told
-// to stop.
+// Announces `count` endpoints periodically, like real endpoints, until `stop`
+// is set.
 void AnnounceMany(cluster& fleet, int count, const std::atomic<bool>& stop) {
   membership::announcement news;
   news.kind = membership::endpoint_kind::kEngine;
@@ -207,7 +208,7 @@
       place =
           fleet.Web().PostLater(fleet.Callers(node), "/v1/announcements", news);
     }
-    // Engines under a lease of 30 s announce every 10 s.
+    // Engines with a lease of 30 s announce themselves every 10 s.
     while (!stop && MillisSince(start) < 10000) {
       std::this_thread::sleep_for(std::chrono::milliseconds(20));
     }
@@ -215,9 +216,9 @@
 }
 
 struct idle_cost {
-  double cpu_percent = 0;  // of one core, mean per instance
+  double cpu_percent = 0;  // percent of one core, mean per instance
   double megabytes = 0;
-  double kilobytes_per_s = 0;  // sent, mean per instance
+  double kilobytes_per_s = 0;  // sent data, mean per instance
 };
 
 idle_cost MeasureIdle(cluster& fleet, double seconds) {
--- a/bench/bench_entry.cc
+++ b/bench/bench_entry.cc
@@ -1,5 +1,5 @@
-// What an instance adds to a call, and how it behaves past the engines'
-// capacity.
+// Measures the latency that an instance adds to a call, and its behaviour above
+// the engines' capacity.
 
 #include <future>
 #include <memory>
@@ -30,7 +30,7 @@
   return times;
 }
 
-// Requests a second with `width` under way at any time.
+// Returns the requests per second with `width` requests in flight at any time.
 double ClosedLoopRate(cluster& fleet, const std::string& address, int width,
                       int count) {
   const auto send = [&] {
@@ -43,9 +43,9 @@
   std::vector<std::future<http_response>> answers;
   for (int i = 0; i < width; ++i) answers.push_back(send());
   for (int i = 0; i < count; ++i) {
-    std::future<http_response>& place = answers[static_cast<size_t>(i % width)];
-    place.get();
-    place = send();
+    std::future<http_response>& slot = answers[static_cast<size_t>(i % width)];
+    slot.get();
+    slot = send();
   }
   for (auto& answer : answers) answer.get();
   return (count + width) / (MillisSince(start) / 1000);
@@ -54,12 +54,12 @@
 struct load_result {
   double offered = 0;    // requests per second
   double completed = 0;  // requests per second
-  double refused = 0;
-  std::vector<double> refusal_times;  // milliseconds
+  double rejected = 0;
+  std::vector<double> rejection_times;  // milliseconds
 };
 
-// Sends generations at a fixed rate for a while, whether or not they are
-// answered.
+// Sends generations at a fixed rate for `seconds`, independent of the
+// responses.
 load_result OpenLoop(cluster& fleet, double per_second, double seconds) {
   struct finished {
     std::mutex mutex;
@@ -94,8 +94,8 @@
                   --state->open;
                   if (response.status == 200) state->result.completed += 1;
                   if (response.status != 503) return;
-                  state->result.refused += 1;
-                  state->result.refusal_times.push_back(MillisSince(start));
+                  state->result.rejected += 1;
+                  state->result.rejection_times.push_back(MillisSince(start));
                 });
   }
   testing::WaitUntil([&] {
@@ -107,7 +107,7 @@
   load_result result = state->result;
   result.offered = count / seconds;
   result.completed /= took;
-  result.refused /= took;
+  result.rejected /= took;
   return result;
 }
 
@@ -177,8 +177,8 @@
                          {"--most_running=16", "--most_queued=16"}});
   }
   if (!fleet.WaitForEndpoints(3)) return;
-  // Capacity as the product itself reaches it, then the same rate and half as
-  // much again.
+  // Measures the capacity that the product itself reaches, then applies this
+  // rate and 1.5 times this rate.
   const load_result probe = OpenLoop(fleet, 900, 3);
   const double capacity = probe.completed;
   std::vector<double> ratios;
@@ -191,8 +191,8 @@
     at_capacity = normal.completed;
     overloaded = over.completed;
     ratios.push_back(over.completed / normal.completed);
-    if (!over.refusal_times.empty()) {
-      refusals.push_back(Percentile(over.refusal_times, 0.99));
+    if (!over.rejection_times.empty()) {
+      refusals.push_back(Percentile(over.rejection_times, 0.99));
     }
   }
   out.Add("overload_capacity_per_s", capacity, "1/s");
--- a/bench/bench_quarantine.cc
+++ b/bench/bench_quarantine.cc
@@ -1,6 +1,6 @@
-// What holding back requests costs: an entry for each request while some are
-// suspected, and the control leader for each end that it is told of, at the
-// largest sizes that a customer can bring about.
+// Measures the cost of quarantine: of an entry for each request while some
+// requests are suspected, and of the control leader for each reported crash, at
+// the largest sizes that a customer can cause.
 
 #include <unistd.h>
 
@@ -20,8 +20,8 @@
 
 constexpr char kKey[] = "0123456789abcdef0123456789abcdef";
 constexpr int kRequests = 100000;
-// Endpoints that end under each of them before it is held back.
-constexpr int kEnds = 3;
+// Number of crashes after which a request is quarantined.
+constexpr int kCrashes = 3;
 
 double MicrosEach(std::chrono::steady_clock::time_point start, int count) {
   constexpr double kMicrosPerMilli = 1000;
@@ -60,7 +60,8 @@
           "us a request");
 }
 
-// Ever new requests of one customer, each of which ends three endpoints.
+// Measures the ledger with many different requests of one customer, each of
+// which crashes three endpoints.
 void MeasureLedger(figures& out) {
   std::vector<std::string> digests;
   for (int i = 0; i < kRequests; ++i) digests.push_back(Digest(i));
@@ -69,14 +70,14 @@
   const time_point now{std::chrono::hours(1)};
   auto start = std::chrono::steady_clock::now();
   for (int i = 0; i < kRequests; ++i) {
-    for (int end = 0; end < kEnds; ++end) {
+    for (int end = 0; end < kCrashes; ++end) {
       const std::string incarnation =
           "i-" + std::to_string(i) + "-" + std::to_string(end);
       quarantine::NoteEnd(ledger, {digests[i], "hostile.example", incarnation},
                           now);
     }
   }
-  out.Add("quarantine_end", MicrosEach(start, kRequests * kEnds),
+  out.Add("quarantine_end", MicrosEach(start, kRequests * kCrashes),
           "us an end, 100,000 requests");
   out.Add("quarantine_requests", static_cast<double>(ledger.suspects.size()),
           "in the book");
--- a/bench/bench_rollout.cc
+++ b/bench/bench_rollout.cc
@@ -1,6 +1,6 @@
-// Rollout steps on 9 engines in 3 availability zones: time of a step against
-// the ideal, with and without faults, the policy beside its baseline under the
-// same load.
+// Measures rollout steps on 9 engines in 3 availability zones: the time of a
+// step compared with the ideal time, with and without faults, and the
+// scheduling policy compared with its baseline under the same load.
 
 #include <algorithm>
 #include <string>
@@ -23,7 +23,7 @@
 constexpr int kEngines = 9;
 constexpr int kPrompts = 72;
 constexpr int kGroup = 8;
-constexpr int kMostRunning = 32;
+constexpr int kMaxRunning = 32;
 constexpr int64_t kMeanTokens = 64;
 constexpr int64_t kMostTokens = 512;
 constexpr double kStepBaseMs = 4;
@@ -32,14 +32,14 @@
 
 enum class fault { kNone, kSlowEngine, kDeadEngine };
 
-// Time of an engine that decodes these lengths, longest first, its batch always
-// full.
+// Returns the time in which an engine decodes outputs of these lengths, longest
+// first, with a batch that is always full.
 double EngineMillis(std::vector<int64_t> lengths, double slow_factor) {
   std::sort(lengths.begin(), lengths.end());
   std::vector<int64_t> running;
   double millis = 0;
   while (!running.empty() || !lengths.empty()) {
-    while (running.size() < kMostRunning && !lengths.empty()) {
+    while (running.size() < kMaxRunning && !lengths.empty()) {
       running.push_back(lengths.back());
       lengths.pop_back();
     }
@@ -48,15 +48,16 @@
               (kStepBaseMs +
                kStepPerRequestMs * static_cast<double>(running.size())) *
               slow_factor;
-    for (int64_t& left : running) left -= steps;
+    for (int64_t& remaining : running) remaining -= steps;
     running.erase(std::remove(running.begin(), running.end(), 0),
                   running.end());
   }
   return millis;
 }
 
-// The step's time if all lengths were known and the work was spread perfectly:
-// the longest first, each to the engine that is done with it first.
+// Returns the time of the step if all lengths were known and the work was
+// distributed optimally: longest first, each to the engine that finishes it
+// first.
 double IdealMillis(const std::string& step, fault what) {
   std::vector<int64_t> lengths;
   for (int slot = 0; slot < kPrompts * kGroup; ++slot) {
@@ -77,7 +78,7 @@
     for (size_t i = 0; i < factors.size(); ++i) {
       const double end =
           std::max(tokens[i] + static_cast<double>(length),
-                   static_cast<double>(length) * kMostRunning / 2) *
+                   static_cast<double>(length) * kMaxRunning / 2) *
           factors[i];
       if (end < best_end) {
         best_end = end;
@@ -124,7 +125,7 @@
   options.after_batch = [&](size_t /*samples*/) {
     const auto begin = steady::now();
     std::this_thread::sleep_for(
-        std::chrono::milliseconds(20));  // the trainer's own work on a batch
+        std::chrono::milliseconds(20));  // processing time of a batch
     working += MillisSince(begin);
   };
   const testing::pull_outcome outcome = testing::PullAll(fleet, name, options);
@@ -149,7 +150,7 @@
       is_baseline ? std::vector<std::string>{"--baseline=round_robin,no_hedging,no_resume,no_affinity"} : std::vector<std::string>{};
   cluster fleet(SixNodes(), "", flags, true);
   const std::string pool =
-      "    engine_concurrency: " + std::to_string(kMostRunning) + "\n";
+      "    engine_concurrency: " + std::to_string(kMaxRunning) + "\n";
   if (!fleet.Start(testing::SmallConfiguration(pool))) return;
   for (int i = 0; i < kEngines; ++i) {
     const double slow = what == fault::kSlowEngine && i == 0 ? kSlowFactor : 1;
@@ -162,7 +163,7 @@
          {"--step_base_ms=" + std::to_string(kStepBaseMs),
           "--step_per_request_ms=" + std::to_string(kStepPerRequestMs),
           "--mean_tokens=" + std::to_string(kMeanTokens),
-          "--most_running=" + std::to_string(kMostRunning),
+          "--most_running=" + std::to_string(kMaxRunning),
           "--slow_factor=" + std::to_string(slow), "--swap_ms=100"}});
   }
   if (!fleet.WaitForEndpoints(kEngines)) return;
@@ -172,7 +173,7 @@
     const std::string step = "bench" + std::to_string(run);
     std::thread killer;
     if (what == fault::kDeadEngine && run == 0) {
-      // Dies in the middle of the first step and stays dead.
+      // Is killed in the middle of the first step and not restarted.
       killer = std::thread([&fleet] {
         std::this_thread::sleep_for(std::chrono::milliseconds(300));
         fleet.Endpoint("e8").Kill();
@@ -189,8 +190,8 @@
     out.AddRuns("trainer_idle_share" + suffix, idle, "share");
   }
   if (what != fault::kNone || is_baseline) return;
-  // New weights before every step, while the step before is still in the
-  // engines' memory.
+  // Publishes new weights before every step, while the engines still have the
+  // previous step in memory.
   std::vector<double> ages;
   std::vector<double> swap_ratios;
   for (int64_t version = 2; version <= 6; ++version) {
@@ -205,20 +206,20 @@
   out.AddRuns("step_over_ideal_weight_swap", swap_ratios, "ratio");
 }
 
-double HedgeShare(const std::string& log) {
+double MaxHedgeShare(const std::string& log) {
   std::ifstream stream(log);
-  double most = 0;
+  double max_share = 0;
   for (std::string line; std::getline(stream, line);) {
-    const size_t place = line.find("hedge_share=");
-    if (place != std::string::npos) {
-      most = std::max(most, std::stod(line.substr(place + 12)));
+    const size_t position = line.find("hedge_share=");
+    if (position != std::string::npos) {
+      max_share = std::max(max_share, std::stod(line.substr(position + 12)));
     }
   }
-  return most;
+  return max_share;
 }
 
-// Tokens generated in vain, from the coordinator's own account when it closes a
-// step.
+// Measures the tokens of discarded hedged copies, as logged by the coordinator
+// when it closes a step.
 void MeasureHedgeTokens(figures& out) {
   cluster fleet(SixNodes(), "", {}, true);
   if (!fleet.Start(
@@ -238,7 +239,8 @@
   for (int run = 0; run < 3; ++run) {
     RunStep(fleet, "hedge" + std::to_string(run), fault::kSlowEngine, 1);
   }
-  out.Add("hedge_extra_tokens_ratio", HedgeShare(fleet.LogOf("n4")), "ratio");
+  out.Add("hedge_extra_tokens_ratio", MaxHedgeShare(fleet.LogOf("n4")),
+          "ratio");
 }
 
 }  // namespace
--- a/bench/bench_store.cc
+++ b/bench/bench_store.cc
@@ -1,5 +1,5 @@
-// What the store that leads the data group spends on a task: four steps at once
-// before 45 engines, as a deployment of some hundred processes has them.
+// Measures the CPU time that the leader of the data group needs per task: four
+// concurrent steps on 45 engines, as in a deployment of some hundred processes.
 
 #include <algorithm>
 #include <string>
@@ -15,8 +15,9 @@
 
 constexpr int kEngines = 45;
 constexpr int kSteps = 4;
-constexpr int kTasks = 192;  // of each step
-// Of an engine with a short batch, as a trainer's texts see it.
+constexpr int kTasks = 192;  // per step
+// Time between two events of an engine with a short batch, as measured in a
+// trainer's outputs.
 constexpr std::chrono::milliseconds kEventTime{40};
 
 std::vector<double> StoreSeconds(deployment& fleet) {
@@ -27,14 +28,14 @@
   return seconds;
 }
 
-// The store that leads is the one that spent the most.
-double MostSpent(const std::vector<double>& before,
-                 const std::vector<double>& after) {
-  double most = 0;
+// Returns the CPU time of the store that used the most, which is the leader.
+double MaxCpuSeconds(const std::vector<double>& before,
+                     const std::vector<double>& after) {
+  double max_seconds = 0;
   for (size_t i = 0; i < before.size(); ++i) {
-    most = std::max(most, after[i] - before[i]);
+    max_seconds = std::max(max_seconds, after[i] - before[i]);
   }
-  return most;
+  return max_seconds;
 }
 
 }  // namespace
@@ -46,7 +47,8 @@
   }
   fleet.Endpoints().SetEventTime(kEventTime);
   if (!fleet.Start()) return;
-  // Each engine is known and has its weights once a step of this size is done.
+  // After a step of this size, all engines are registered and have loaded their
+  // weights.
   fleet.Submit("e1", "warm", kTasks);
   fleet.WaitForResults("e2", "warm", kTasks);
   const std::vector<double> before = StoreSeconds(fleet);
@@ -58,7 +60,7 @@
     fleet.WaitForResults("e2", "step-" + std::to_string(i), kTasks);
   }
   const double millis = MillisSince(start);
-  const double spent = MostSpent(before, StoreSeconds(fleet));
+  const double spent = MaxCpuSeconds(before, StoreSeconds(fleet));
   constexpr double kAll = kSteps * kTasks;
   constexpr double kMillis = 1000;
   out.Add("store_leader_ms_of_a_core_per_task", spent * kMillis / kAll, "ms");
--- a/bench/figures.h
+++ b/bench/figures.h
@@ -1,8 +1,8 @@
 #ifndef HICKORYWOOD_BENCH_FIGURES_H_
 #define HICKORYWOOD_BENCH_FIGURES_H_
 
-// Measured figures: one line each, `figure NAME VALUE UNIT`, to standard output
-// and a file.
+// Writes measured figures, one line `figure NAME VALUE UNIT` each, to standard
+// output and to a file.
 
 #include <sys/types.h>
 
@@ -18,7 +18,8 @@
   explicit figures(const std::string& file);
 
   void Add(const std::string& name, double value, const std::string& unit);
-  // The median of several runs, with NAME_min and NAME_max beside it.
+  // Adds the median of several runs, and the minimum and maximum as NAME_min
+  // and NAME_max.
   void AddRuns(const std::string& name, std::vector<double> runs,
                const std::string& unit);
 
@@ -26,18 +27,18 @@
   std::ofstream file_;
 };
 
-// The value below which `share` of the sorted-on-the-fly `values` lie.
+// Returns the quantile `share` of `values`.
 double Percentile(std::vector<double> values, double share);
 
 double MillisSince(std::chrono::steady_clock::time_point start);
 
-// Processor seconds and resident megabytes of a process.
+// CPU seconds and resident megabytes of a process.
 double CpuSeconds(pid_t pid);
 double ResidentMegabytes(pid_t pid);
-// Bytes that crossed the loopback device so far, headers included.
+// Number of bytes sent over the loopback device since boot, including headers.
 double LoopbackBytes();
 
-// One part each.
+// Each function measures one part.
 void MeasureControl(figures& out);
 void MeasureEntry(figures& out);
 void MeasureRollout(figures& out);
--- a/tests/fakes/fake_endpoint.cc
+++ b/tests/fakes/fake_endpoint.cc
@@ -1,6 +1,6 @@
-// A fake engine or plain service as a process of its own. It announces itself
-// to the entries until it is told to stop; on SIGTERM it announces that it
-// leaves and finishes what it has.
+// Runs a fake engine or plain service as a separate process. It announces
+// itself to the entries. On SIGTERM it announces that it leaves, finishes its
+// running requests and exits.
 
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
@@ -38,17 +38,19 @@
 ABSL_FLAG(double, step_per_request_ms, 0.05,
           "added by each request of the batch");
 ABSL_FLAG(int64_t, most_running, 32, "batch size");
-ABSL_FLAG(int64_t, most_queued, 256, "requests that wait; past it 429");
+ABSL_FLAG(int64_t, most_queued, 256,
+          "queued requests; further requests get 429");
 ABSL_FLAG(int64_t, mean_tokens, 64, "mean length");
 ABSL_FLAG(int64_t, chunk_tokens, 8, "tokens per streamed chunk");
 ABSL_FLAG(int64_t, swap_ms, 100, "time to load weights");
-ABSL_FLAG(int64_t, version, 1, "weight version at the start");
+ABSL_FLAG(int64_t, version, 1, "initial weights version");
 ABSL_FLAG(bool, honours_fencing, true,
           "refuses orders with an old fencing number");
 ABSL_FLAG(
     std::string, ends_on, "",
-    "text in the target of a call, or in a prompt, that ends the process");
-ABSL_FLAG(double, slow_factor, 1, "how many times slower than told");
+    "text in the target of a call, or in a prompt, that crashes the process");
+ABSL_FLAG(double, slow_factor, 1,
+          "factor by which decoding is slower than configured");
 
 namespace {
 
@@ -64,22 +66,22 @@
       absl::GetFlag(FLAGS_step_base_ms) * absl::GetFlag(FLAGS_slow_factor);
   options.step_per_request_ms = absl::GetFlag(FLAGS_step_per_request_ms) *
                                 absl::GetFlag(FLAGS_slow_factor);
-  options.most_running = absl::GetFlag(FLAGS_most_running);
-  options.most_queued = absl::GetFlag(FLAGS_most_queued);
+  options.max_running = absl::GetFlag(FLAGS_most_running);
+  options.max_queued = absl::GetFlag(FLAGS_most_queued);
   options.mean_tokens = absl::GetFlag(FLAGS_mean_tokens);
   options.chunk_tokens = absl::GetFlag(FLAGS_chunk_tokens);
   options.swap_ms = absl::GetFlag(FLAGS_swap_ms);
   options.version = absl::GetFlag(FLAGS_version);
   options.honours_fencing = absl::GetFlag(FLAGS_honours_fencing);
-  options.ends_on = absl::GetFlag(FLAGS_ends_on);
+  options.crash_text = absl::GetFlag(FLAGS_ends_on);
   return options;
 }
 
 void Announce(transport::http_client& client, const std::string& entry,
-              const membership::announcement& news) {
+              const membership::announcement& announced) {
   transport::http_request request;
   request.url = "http://" + entry + "/v1/announcements";
-  request.body = core::Encode(news);
+  request.body = core::Encode(announced);
   request.total_timeout = milliseconds(1000);
   const std::string token = absl::GetFlag(FLAGS_token);
   if (!token.empty()) {
@@ -112,40 +114,41 @@
   }
   transport::http_client client;
   client.Start();
-  membership::announcement news;
-  news.id = absl::GetFlag(FLAGS_id);
-  news.kind = is_engine ? membership::endpoint_kind::kEngine
-                        : membership::endpoint_kind::kService;
-  news.name = absl::GetFlag(FLAGS_name);
-  news.site = absl::GetFlag(FLAGS_site);
-  news.zone = absl::GetFlag(FLAGS_zone);
+  membership::announcement announced;
+  announced.id = absl::GetFlag(FLAGS_id);
+  announced.kind = is_engine ? membership::endpoint_kind::kEngine
+                             : membership::endpoint_kind::kService;
+  announced.name = absl::GetFlag(FLAGS_name);
+  announced.site = absl::GetFlag(FLAGS_site);
+  announced.zone = absl::GetFlag(FLAGS_zone);
   const std::string advertised = absl::GetFlag(FLAGS_advertise);
-  news.address = advertised.empty()
-                     ? "127.0.0.1:" + std::to_string(server.Port())
-                     : advertised;
-  news.boot = std::chrono::duration_cast<milliseconds>(
-                  std::chrono::system_clock::now().time_since_epoch())
-                  .count();
-  news.honours_fencing = absl::GetFlag(FLAGS_honours_fencing);
-  news.lease_ms = absl::GetFlag(FLAGS_lease_ms);
+  announced.address = advertised.empty()
+                          ? "127.0.0.1:" + std::to_string(server.Port())
+                          : advertised;
+  announced.boot = std::chrono::duration_cast<milliseconds>(
+                       std::chrono::system_clock::now().time_since_epoch())
+                       .count();
+  announced.honours_fencing = absl::GetFlag(FLAGS_honours_fencing);
+  announced.lease_ms = absl::GetFlag(FLAGS_lease_ms);
   const std::vector<std::string> entries = absl::GetFlag(FLAGS_entries);
-  size_t turn = core::Hash64(news.id) % std::max<size_t>(1, entries.size());
+  size_t turn =
+      core::Hash64(announced.id) % std::max<size_t>(1, entries.size());
   bool was_swapping = false;
   auto announced_at = std::chrono::steady_clock::time_point{};
   for (;;) {
     const fakes::engine_state state = engine.State();
-    news.is_leaving = stop_requested;
-    news.version = is_engine ? engine.AnnouncedVersion() : 0;
-    news.running = state.running;
-    news.queued = state.queued;
-    news.is_swapping = state.is_swapping;
+    announced.is_leaving = stop_requested;
+    announced.version = is_engine ? engine.AnnouncedVersion() : 0;
+    announced.running = state.running;
+    announced.queued = state.queued;
+    announced.is_swapping = state.is_swapping;
     const auto now = std::chrono::steady_clock::now();
     const bool is_due =
         now - announced_at >= milliseconds(absl::GetFlag(FLAGS_announce_ms));
     if (!entries.empty() &&
-        (is_due || news.is_leaving || was_swapping != state.is_swapping)) {
-      ++news.seq;
-      Announce(client, entries[turn++ % entries.size()], news);
+        (is_due || announced.is_leaving || was_swapping != state.is_swapping)) {
+      ++announced.seq;
+      Announce(client, entries[turn++ % entries.size()], announced);
       announced_at = now;
     }
     was_swapping = state.is_swapping;
--- a/tests/fakes/fake_engine.cc
+++ b/tests/fakes/fake_engine.cc
@@ -16,10 +16,10 @@
 constexpr char kJson[] = "application/json";
 constexpr int64_t kPromptBytesPerPrefillStep = 512;
 constexpr size_t kPrefixBytes = 256;
-constexpr size_t kMostPrefixes = 64;
+constexpr size_t kMaxPrefixes = 64;
 
-// "STEP.SLOT" of a sample's request id, which has the form
-// STEP.SLOT.EPOCH.ATTEMPT-TRY.
+// Returns the part "STEP.SLOT" of the request id of a sample, which has the
+// form STEP.SLOT.EPOCH.ATTEMPT-TRY.
 std::string SampleOf(const std::string& id) {
   const size_t first = id.find('.');
   const size_t second =
@@ -37,7 +37,8 @@
 
 int64_t LengthOf(const std::string& id, const std::string& prompt, int64_t mean,
                  int64_t limit) {
-  constexpr double kShape = 2.2;  // of a Pareto distribution with this mean
+  constexpr double kShape =
+      2.2;  // shape of a Pareto distribution with this mean
   const double uniform =
       (static_cast<double>(core::Hash64(SampleOf(id) + prompt) % 1000000) + 1) /
       1000001.0;
@@ -104,15 +105,16 @@
   item->exchange = exchange;
   item->id = body.value("request_id", "");
   item->prompt = body.value("prompt", "");
-  const bool is_end = !options_.ends_on.empty() &&
-                      item->prompt.find(options_.ends_on) != std::string::npos;
+  const bool is_end =
+      !options_.crash_text.empty() &&
+      item->prompt.find(options_.crash_text) != std::string::npos;
   if (is_end) std::_Exit(1);
   item->produced = body.value("resume_tokens", int64_t{0});
   item->priority = body.value("priority", int64_t{0});
   item->length = LengthOf(item->id, item->prompt, options_.mean_tokens,
                           body.value("max_tokens", int64_t{1}));
   const std::lock_guard<std::mutex> lock(mutex_);
-  if (static_cast<int64_t>(queue_.size()) >= options_.most_queued) {
+  if (static_cast<int64_t>(queue_.size()) >= options_.max_queued) {
     exchange->Reply(429, {{"Hickory-Outcome", "not_run"}, {"Retry-After", "1"}},
                     kJson, "{}");
     return;
@@ -123,7 +125,7 @@
                             ? 0
                             : 1 + static_cast<int64_t>(item->prompt.size()) /
                                       kPromptBytesPerPrefillStep;
-  if (cached_prefixes_.size() >= kMostPrefixes) {
+  if (cached_prefixes_.size() >= kMaxPrefixes) {
     cached_prefixes_.erase(cached_prefixes_.begin());
   }
   cached_prefixes_.insert(prefix);
@@ -135,7 +137,7 @@
   queue_.insert(before, item);
   exchange->BeginStream(200, {}, "text/event-stream");
   exchange->OnDisconnect([this, item] {
-    item->is_gone = true;
+    item->is_disconnected = true;
     const std::lock_guard<std::mutex> count_lock(mutex_);
     ++state_.disconnected;
   });
@@ -182,22 +184,22 @@
       });
       if (stopping_) return;
       FinishSwapIfDue();
-      while (static_cast<int64_t>(running_.size()) < options_.most_running &&
+      while (static_cast<int64_t>(running_.size()) < options_.max_running &&
              !queue_.empty()) {
         running_.push_back(queue_.front());
         queue_.pop_front();
       }
       running_.erase(std::remove_if(running_.begin(), running_.end(),
                                     [](const sequence_ptr& item) {
-                                      return item->is_gone.load();
+                                      return item->is_disconnected.load();
                                     }),
                      running_.end());
       step_ms =
           (options_.step_base_ms + options_.step_per_request_ms *
                                        static_cast<double>(running_.size())) *
           behaviour_.slow_factor;
-      // Decoding pauses while weights are loaded; running requests go on with
-      // the new ones.
+      // Decoding pauses while weights are loaded; running requests continue
+      // with the new weights.
       if (!state_.is_swapping && !behaviour_.goes_silent) batch = running_;
     }
     std::this_thread::sleep_for(
@@ -239,7 +241,7 @@
     }
     if (behaviour.cut_after_tokens >= 0 &&
         item->produced >= behaviour.cut_after_tokens && !is_last) {
-      item->exchange->EndStream();  // without the end mark
+      item->exchange->EndStream();  // without the final "[DONE]" message
       item->produced = item->length;
     }
   }
--- a/tests/fakes/fake_engine.h
+++ b/tests/fakes/fake_engine.h
@@ -1,9 +1,9 @@
 #ifndef HICKORYWOOD_TESTS_FAKES_FAKE_ENGINE_H_
 #define HICKORYWOOD_TESTS_FAKES_FAKE_ENGINE_H_
 
-// A stand-in for a model engine: batches continuously with a step time that
-// grows with the batch, streams chunks that name their weight version, takes
-// orders, and misbehaves on demand.
+// A simulated model engine. It uses continuous batching with a step time that
+// grows with the batch, streams chunks with their weights version, accepts
+// orders, and can be told to misbehave.
 
 #include <atomic>
 #include <chrono>
@@ -22,14 +22,15 @@
 
 namespace hickorywood::fakes {
 
-// How the engine misbehaves; set over HTTP.
+// Kinds of misbehaviour of the engine, set over HTTP.
 struct engine_behaviour {
-  int64_t cut_after_tokens = -1;  // closes the stream there, once per request
-  bool omits_version = false;     // chunks without a weight version
+  int64_t cut_after_tokens =
+      -1;  // closes the stream after this many tokens, once per request
+  bool omits_version = false;  // omits the weights version from chunks
   bool echoes_wrong_id = false;
-  bool goes_silent = false;        // streams stop, connections stay open
-  bool swap_fails = false;         // a swap takes its time and changes nothing
-  int64_t announced_version = -1;  // announces this instead of its real one
+  bool goes_silent = false;  // streams send nothing more, connections stay open
+  bool swap_fails = false;   // a swap takes its normal time and changes nothing
+  int64_t announced_version = -1;  // announced in place of the real version
   double slow_factor = 1;
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(engine_behaviour,
@@ -42,26 +43,27 @@
   double step_base_ms = 2;  // time of one decoding step with an empty batch
   double step_per_request_ms = 0.05;
   int64_t chunk_tokens = 8;
-  int64_t most_running = 32;
-  int64_t most_queued = 256;
-  int64_t mean_tokens = 64;  // lengths are heavy-tailed around this
+  int64_t max_running = 32;
+  int64_t max_queued = 256;
+  int64_t mean_tokens = 64;  // mean of the heavy-tailed output lengths
   int64_t swap_ms = 100;
   bool honours_fencing = true;
   int64_t version = 1;
-  std::string ends_on;  // text in a prompt that ends the process; empty: none
+  std::string
+      crash_text;  // text in a prompt that crashes the process; empty: none
 };
 
-// What tests ask the engine about itself.
+// State and counters of the engine, read by tests over HTTP.
 struct engine_state {
   int64_t version = 0;
   bool is_swapping = false;
   int64_t running = 0;
   int64_t queued = 0;
-  int64_t started = 0;       // requests accepted so far
-  int64_t disconnected = 0;  // requests whose caller went away
-  int64_t tokens = 0;        // generated so far
+  int64_t started = 0;       // accepted requests
+  int64_t disconnected = 0;  // requests whose caller disconnected
+  int64_t tokens = 0;        // generated tokens
   int64_t orders_taken = 0;
-  int64_t orders_refused = 0;  // for an old fencing number
+  int64_t orders_refused = 0;  // rejected because of an old fencing token
   uint64_t highest_fence = 0;
   std::vector<int64_t> versions_loaded;
 };
@@ -85,14 +87,14 @@
     std::shared_ptr<transport::http_exchange> exchange;
     std::string id;
     std::string prompt;
-    int64_t produced = 0;  // with the resumed tokens
+    int64_t produced = 0;  // including resumed tokens
     int64_t length = 0;
     int64_t priority = 0;
     int64_t prefill_steps = 0;
     std::string pending_text;
     int64_t pending_tokens = 0;
     int64_t pending_version = 0;
-    std::atomic<bool> is_gone{false};
+    std::atomic<bool> is_disconnected{false};
   };
   using sequence_ptr = std::shared_ptr<sequence>;
 
@@ -118,8 +120,8 @@
   std::thread thread_;
 };
 
-// Tokens that request `id` gets: the same for each attempt at one sample,
-// heavy-tailed.
+// Returns the number of output tokens of request `id`. It is the same for each
+// attempt at a sample, and heavy-tailed over all samples.
 int64_t LengthOf(const std::string& id, const std::string& prompt, int64_t mean,
                  int64_t limit);
 
--- a/tests/fakes/fake_service.cc
+++ b/tests/fakes/fake_service.cc
@@ -25,8 +25,8 @@
     exchange->Reply(behaviour ? 200 : 400, {}, kJson, "{}");
     return;
   }
-  const bool is_end =
-      !ends_on_.empty() && exchange->Path().find(ends_on_) != std::string::npos;
+  const bool is_end = !crash_text_.empty() &&
+                      exchange->Path().find(crash_text_) != std::string::npos;
   if (is_end) std::_Exit(1);
   Run(exchange);
 }
--- a/tests/fakes/fake_service.h
+++ b/tests/fakes/fake_service.h
@@ -1,8 +1,8 @@
 #ifndef HICKORYWOOD_TESTS_FAKES_FAKE_SERVICE_H_
 #define HICKORYWOOD_TESTS_FAKES_FAKE_SERVICE_H_
 
-// A stand-in for a plain service: counts how often each call ran, and
-// misbehaves on demand.
+// A simulated plain service. It counts how often each call ran and can be told
+// to misbehave.
 
 #include <cstdint>
 #include <map>
@@ -18,7 +18,7 @@
 
 struct service_behaviour {
   int64_t delay_ms = 0;
-  bool freezes_after_read = false;  // runs the call and never answers
+  bool freezes_after_read = false;  // runs the call and never responds
   bool says_not_run = false;
   bool echoes_wrong_id = false;
 };
@@ -34,10 +34,10 @@
 
 class fake_service {
  public:
-  // `ends_on`: text in the target of a call that ends the process; empty: none
-  // does.
-  explicit fake_service(std::string id, std::string ends_on = "")
-      : id_(std::move(id)), ends_on_(std::move(ends_on)) {}
+  // `crash_text` is a text in the target of a call that crashes the process;
+  // empty: none.
+  explicit fake_service(std::string id, std::string crash_text = "")
+      : id_(std::move(id)), crash_text_(std::move(crash_text)) {}
 
   void Handle(const std::shared_ptr<transport::http_exchange>& exchange);
 
@@ -45,7 +45,7 @@
   void Run(const std::shared_ptr<transport::http_exchange>& exchange);
 
   const std::string id_;
-  const std::string ends_on_;
+  const std::string crash_text_;
   std::mutex mutex_;
   service_behaviour behaviour_;  // guarded by mutex_
   service_state state_;          // guarded by mutex_
