--- a/scripts/bench.sh
+++ b/scripts/bench.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Measures. BENCH=control|entry|routing|rollout|store|quarantine|answers picks a part. Figures go to build/bench/figures.txt.
+# Runs the benchmarks. BENCH=control|entry|routing|rollout|store|quarantine|answers selects one part.
+# The figures are written to build/bench/figures.txt.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 build=${1:-build}
--- a/scripts/check-format.sh
+++ b/scripts/check-format.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Fails when a source file is not formatted as .clang-format says.
+# Fails if a source file is not formatted according to .clang-format.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 git ls-files '*.cc' '*.h' | xargs clang-format --dry-run --Werror
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# The whole path on this machine, on loopback: 3 control instances of one site, an entry of the other
-# site, 4 fake engines, a plain service; the example configuration; a rollout step; a burn summary.
-# Ends everything that it started.
+# Demonstrates the complete system on loopback: 3 control instances of one site, an entry of another
+# site, 4 fake engines and a plain service. Applies the example configuration, runs a rollout step and
+# prints a burn report. Stops all processes that it started.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 build=$(cd "${1:-build}" && pwd)
@@ -14,7 +14,7 @@
 }
 trap finish EXIT
 
-# Ports that are free now.
+# Picks free ports.
 ports=($(python3 - <<'PY'
 import socket
 socks = [socket.socket() for _ in range(8)]
@@ -45,7 +45,7 @@
 server=127.0.0.1:${ports[0]}
 ctl() { "$build/packages/hickoryctl/hickoryctl" --server="$server" "$@"; }
 
-echo "== found the control group, submit the base file and both overlays"
+echo "== bootstrap the control group, submit the base file and both overlays"
 ctl bootstrap
 ctl validate examples/base.yaml --overlay=strathallan=examples/strathallan.yaml,kadrs=examples/kadrs.yaml
 until ctl submit examples/base.yaml --scope=base; do sleep 0.3; done
--- a/scripts/demo_trainer.py
+++ b/scripts/demo_trainer.py
@@ -1,4 +1,4 @@
-"""A trainer in a few lines: opens a step, pulls its batches, prints the samples' labels."""
+"""A minimal trainer: opens a step, pulls its batches and prints the labels of the samples."""
 
 import json
 import sys
@@ -44,7 +44,7 @@
             )
             print(f"  slot {sample['slot']:2} of prompt {sample['prompt']}: {ranges}")
             count += 1
-    print(f"step whole: {count} samples in {time.monotonic() - started:.2f} s")
+    print(f"step complete: {count} samples in {time.monotonic() - started:.2f} s")
 
 
 def hold(address):
--- a/scripts/install-packages.sh
+++ b/scripts/install-packages.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs the Debian packages that the build needs, if any is missing.
+# Installs the Debian packages that the build needs and that are not installed yet.
 set -euo pipefail
 cd "$(dirname "$0")"
 missing=()
--- a/scripts/lint.py
+++ b/scripts/lint.py
@@ -1,7 +1,7 @@
 #!/usr/bin/env python3
-"""Runs clang-tidy over all sources with the compile commands of the build folder given.
+"""Runs clang-tidy on all sources with the compile commands of a build folder.
 
-A file that was clean is passed over while it, all that it includes, the compiler's options and the checks stay the same.
+A clean file is skipped as long as the file, its includes, the compiler options and the checks are unchanged.
 """
 
 import concurrent.futures
@@ -21,7 +21,8 @@
 
 
 def key_of(entry, common):
-    """Hash of all that decides what clang-tidy says of a file. Comments count: they can silence a check."""
+    """Returns a hash of everything that determines the result of clang-tidy for a file. It includes comments,
+    because they can suppress a check."""
     command = shlex.split(entry["command"])
     output = command.index("-o")
     del command[output : output + 2]
@@ -33,7 +34,7 @@
 
 
 def lint(entry, build, common):
-    """Returns what clang-tidy says; empty: the file is clean."""
+    """Returns the output of clang-tidy; empty if the file is clean."""
     key = key_of(entry, common)
     if key and (CACHE / key).exists():
         return ""
--- a/scripts/run-tests.sh
+++ b/scripts/run-tests.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Runs all tests. Tests named in KNOWN-RED.txt (one a line: test, cause, issue) are run by themselves
-# and printed, and don't decide the verdict.
+# Runs all tests. Tests listed in KNOWN-RED.txt (one per line: test, cause, issue) are run separately
+# and printed, and do not affect the exit code.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 build=${1:-build}
--- a/tests/model/claim.pml
+++ b/tests/model/claim.pml
@@ -1,14 +1,14 @@
-/* A non-idempotent call with an idempotency key: claim, dispatch, retry.
+/* Model of a non-idempotent call with an idempotency key: claim, dispatch, retry.
  *
- * The caller sends the call through two entries, again whenever an answer is lost. An entry commits a
- * claim before it dispatches; entries crash between any two steps and come back as new processes. The
- * claim register stands for the replicated state, whose steps are atomic and durable.
+ * The caller sends the call through two entries and retries when a response is lost. An entry commits a
+ * claim before it dispatches the call. Entries crash between any two steps and restart as new
+ * processes. The claim register models the replicated state, whose steps are atomic and durable.
  *
- * Checked: the call runs at most once; "not run" is answered only if it did not run and can't any
- * more under that attempt; a recorded answer is given only if it ran.
+ * Checked properties: the call runs at most once; "not run" is returned only if the call did not run
+ * and can't run later under that attempt; a recorded response is returned only if the call ran.
  *
- * Switches: -DNO_CLAIM dispatches without a claim; -DRELEASE_UNKNOWN gives the claim back when the fate
- * of the call is not known.
+ * Switches: -DNO_CLAIM dispatches without a claim; -DRELEASE_UNKNOWN releases the claim when the
+ * outcome of the call is unknown.
  */
 
 #define ENTRIES 2
@@ -18,7 +18,7 @@
 mtype = { FREE, CLAIMED, FINISHED, UNKNOWN };
 
 mtype claim = FREE;
-byte owner = 255;  /* attempt that holds the claim */
+byte owner = 255;  /* attempt that owns the claim */
 byte boot[ENTRIES];
 byte owner_boot = 0;
 byte owner_entry = 0;
@@ -32,7 +32,7 @@
   :: tries < TRIES ->
      tries++;
      atomic { attempt = next_attempt; next_attempt++; my_boot = boot[me]; sent = false; answered = false }
-     /* The claim. */
+     /* Claim the call. */
      atomic {
 #ifdef NO_CLAIM
        skip
@@ -41,7 +41,7 @@
        :: claim == FREE -> claim = CLAIMED; owner = attempt; owner_boot = my_boot; owner_entry = me
        :: claim == FINISHED -> assert(runs == 1); goto done
        :: claim == UNKNOWN -> goto done
-       :: claim == CLAIMED -> goto done  /* in progress, or of unknown fate */
+       :: claim == CLAIMED -> goto done  /* in progress, or outcome unknown */
        fi
 #endif
      }
@@ -49,11 +49,11 @@
      :: crashes < CRASHES -> atomic { crashes++; boot[me]++; goto done }  /* crash before dispatch */
      :: true
      fi;
-     /* The dispatch: it may arrive or not, and the answer may get lost. */
+     /* Dispatch the call: it may arrive or not, and the response may get lost. */
      if
      :: atomic { runs++; assert(runs <= 1); sent = true; answered = true }
      :: atomic { runs++; assert(runs <= 1); sent = true }
-     :: atomic { sent = true }             /* lost on the way; nobody can tell */
+     :: atomic { sent = true }             /* lost in transit; the entry can't detect this */
      :: skip                               /* the connection was refused: nothing was sent */
      fi;
      if
--- a/tests/model/lease.pml
+++ b/tests/model/lease.pml
@@ -1,18 +1,19 @@
-/* Election, leader lease, acceptance of changes and lost disks, for three replicas.
+/* Model of elections, the leader lease, accepted changes and lost disks, for three replicas.
  *
- * Time is a counter that moves in steps; a replica may be frozen, so it acts late. Each process step
- * is atomic like the real one: read messages, write to disk, send. Messages are calls here: a vote or
- * an acknowledgement either reaches the other side or not.
+ * Time is a counter that advances in steps. A replica may be frozen, so it may act late. Each process
+ * step is atomic as in the implementation: read messages, write to disk, send. Messages are modelled
+ * as calls: a vote or an acknowledgement either reaches the other replica or is lost.
  *
- * Checked: two leaders never accept in the same moment (lease); what was accepted is never missing at
- * a later leader (commit); an instance that lost its disk does not break either.
+ * Checked properties: two leaders never accept changes at the same time (lease); a later leader has
+ * all accepted changes (commit); an instance that lost its disk violates neither property.
  *
- * Switches that take one safeguard away; the checker must then find a violation:
- *   -DNO_PROMISE   voters don't wait for their promise to the leader to end
+ * Each switch removes one safeguard, and the checker must then find a violation:
+ *   -DNO_PROMISE   voters don't wait until their promise to the leader expires
  *   -DOLD_IDENTITY an instance with an empty disk votes under its old identity
  *
- * That a readmitted instance has caught up is no matter of safety here: log matching already keeps an
- * empty voter from acknowledging or winning anything. It keeps the second loss from leaving one copy.
+ * The condition that an instance has caught up before it is readmitted is not needed for these
+ * properties: log matching already prevents an empty voter from acknowledging entries or winning
+ * elections. The condition prevents a second lost disk from leaving only one copy.
  */
 
 #define N 3
@@ -24,25 +25,25 @@
 #define MAX_TERM 2
 #endif
 #define MAX_LOG 1
-#define LEASE 1   /* time units; the promise lasts longer */
+#define LEASE 1   /* in time units; the promise is longer than the lease */
 #define PROMISE 2
 #define NOBODY 9
 
 byte now = 0;
 
-/* On disk. */
+/* State on disk. */
 byte term[N];
-byte voted[N];       /* in the current term */
+byte voted[N];       /* vote in the current term */
 byte log_length[N];
 byte log_term[N];    /* term of the last entry */
 bool admitted[N];    /* its storage id is among the voters */
 
-/* In memory. */
+/* State in memory. */
 bool leading[N];
 byte lease_until[N];
 byte promised_until[N];
 
-/* What callers were told. */
+/* Accepted changes, as reported to callers. */
 byte accepted_length = 0;
 byte accepted_term = 0;
 byte disks_lost = 0;
@@ -50,7 +51,7 @@
 /* The last entry of `a` is at least as new as that of `b`. */
 #define UP_TO_DATE(a, b) (log_term[a] > log_term[b] || (log_term[a] == log_term[b] && log_length[a] >= log_length[b]))
 
-/* Scratch variables are cleared, so that their leftovers don't multiply the states. */
+/* Clears scratch variables, because stale values would multiply the number of states. */
 #define CLEAR k = 0; votes = 0; acks = 0; voters = 0; other = 0
 
 inline count_voters(result) {
@@ -58,7 +59,7 @@
   for (k : 0 .. N - 1) { if :: admitted[k] -> result++ :: else fi }
 }
 
-/* Whether `v` may vote for `c` in `t`. */
+/* Whether `v` may vote: its promise to a leader has expired. */
 #ifdef NO_PROMISE
 #define MAY_VOTE(v) true
 #else
@@ -68,7 +69,7 @@
 proctype replica(byte me) {
   byte k; byte votes; byte acks; byte voters; byte other;
   do
-  /* Election: the votes of any reachable subset. */
+  /* Election: collects the votes of any reachable subset of replicas. */
   :: atomic { admitted[me] && !leading[me] && term[me] < MAX_TERM && MAY_VOTE(me) ->
        term[me]++; voted[me] = me; votes = 1;
        for (other : 0 .. N - 1) {
@@ -89,7 +90,7 @@
        fi;
        CLEAR
      }
-  /* Replication with a lease: the acknowledgements of any reachable subset, sent now. */
+  /* Replication with a lease: collects acknowledgements, sent now, of any reachable subset of replicas. */
   :: atomic { leading[me] && log_length[me] < MAX_LOG ->
        log_length[me]++; log_term[me] = term[me]; acks = 1;
        for (other : 0 .. N - 1) {
@@ -116,7 +117,7 @@
        fi;
        CLEAR
      }
-  /* Heartbeat: renews the lease and brings followers up to date. */
+  /* Heartbeat: renews the lease and updates the logs of followers. */
   :: atomic { leading[me] && lease_until[me] < now + LEASE ->
        acks = 1;
        for (other : 0 .. N - 1) {
@@ -141,7 +142,7 @@
        fi;
        CLEAR
      }
-  /* The disk is lost, one at a time. */
+  /* Loss of a disk, one at a time. */
   :: atomic { disks_lost < 2 && admitted[0] && admitted[1] && admitted[2] && now < MAX_TIME ->
        disks_lost++;
        term[me] = 0; voted[me] = NOBODY; log_length[me] = 0; log_term[me] = 0;
@@ -152,7 +153,7 @@
        ;
        CLEAR
      }
-  /* A leader with a quorum of what is left readmits an empty replica once its copy is complete. */
+  /* A leader with a quorum of the remaining replicas readmits an empty replica once its copy is complete. */
   :: atomic { leading[me] && now < lease_until[me] ->
        other = NOBODY;
        for (k : 0 .. N - 1) { if :: !admitted[k] -> other = k :: else fi }
@@ -166,7 +167,7 @@
               fi
             }
             if
-            :: acks == N - 1 ->  /* both that are left hold everything: the change commits */
+            :: acks == N - 1 ->  /* both remaining replicas have all entries: the change commits */
                  log_length[other] = log_length[me]; log_term[other] = log_term[me];
                  term[other] = term[me]; admitted[other] = true
             :: else
@@ -175,14 +176,14 @@
        fi;
        CLEAR
      }
-  /* Leaders of the same moment: checked whenever this one would act. */
+  /* Checks, whenever this leader could act, that no other leader has a valid lease. */
   :: atomic { leading[me] && now < lease_until[me] ->
        for (other : 0 .. N - 1) {
          assert(other == me || !leading[other] || now >= lease_until[other])
        };
        CLEAR
      }
-  /* A serving leader has all that was accepted before it. */
+  /* Checks that a serving leader has all changes that were accepted before. */
   :: atomic { leading[me] && now < lease_until[me] ->
        assert(log_term[me] > accepted_term || (log_term[me] == accepted_term && log_length[me] >= accepted_length));
        CLEAR
--- a/tests/model/run.sh
+++ b/tests/model/run.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Checks the models, and that each of them notices when a safeguard is taken away.
+# Checks the models, and checks that each model reports a violation when a safeguard is removed.
 set -euo pipefail
 here=$(cd "$(dirname "$0")" && pwd)
 work=$(mktemp -d)
