--- a/packages/core/events.cc
+++ b/packages/core/events.cc
@@ -116,7 +116,7 @@
       {event_id::kConfigurationAccepted, kInfo, "configuration", "accepted"},
       {event_id::kConfigurationRefused, kWarning, "configuration", "refused"},
       {event_id::kConfigurationInForce, kInfo, "configuration",
-       "in force here"},
+       "in force at this instance"},
       {event_id::kConfigurationHeld, kWarning, "configuration",
        "delayed: site unreachable"},
       {event_id::kConfigurationLeaseExpired, kWarning, "configuration",
--- a/tests/fakes/fake_engine.h
+++ b/tests/fakes/fake_engine.h
@@ -3,7 +3,7 @@
 
 // A simulated model engine. It uses continuous batching with a step time that
 // grows with the batch, streams chunks with their weights version, accepts
-// orders, and can be told to misbehave.
+// orders, and misbehaves on request.
 
 #include <atomic>
 #include <chrono>
--- a/tests/fakes/fake_service.h
+++ b/tests/fakes/fake_service.h
@@ -1,8 +1,8 @@
 #ifndef HICKORYWOOD_TESTS_FAKES_FAKE_SERVICE_H_
 #define HICKORYWOOD_TESTS_FAKES_FAKE_SERVICE_H_
 
-// A simulated plain service. It counts how often each call ran and can be told
-// to misbehave.
+// A simulated plain service. It counts how often each call ran and misbehaves
+// on request.
 
 #include <cstdint>
 #include <map>
