--- a/packages/controller/leader_service.cc
+++ b/packages/controller/leader_service.cc
@@ -93,7 +93,7 @@
   if (method == peering::kPublishVersionMethod) {
     co_return co_await PublishVersion(std::move(payload));
   }
-  if (method == peering::kCrashNewsMethod) {
+  if (method == peering::kCrashUpdateMethod) {
     co_return co_await TakeCrashNews(std::move(payload));
   }
   if (method == peering::kWarningsMethod) {
@@ -396,7 +396,7 @@
 }
 
 awaitable<envelope> leader_service::TakeCrashNews(std::string payload) {
-  const auto input = core::DecodeBinary<fleet::crash_news>(payload);
+  const auto input = core::DecodeBinary<fleet::crash_update>(payload);
   if (!input) co_return Malformed();
   const time_point now = clock_.Now();
   for (const fleet::crash_report& report : input->reports) {
--- a/packages/entry/entry_instance.cc
+++ b/packages/entry/entry_instance.cc
@@ -50,8 +50,8 @@
         caller(pool, node.seeds),
         follower(caller, FollowerOptions(node)),
         crashes(io, runtime, pool, follower.View(),
-                [this](fleet::crash_news news) {
-                  return peering::TellCrashNews(caller, std::move(news));
+                [this](fleet::crash_update news) {
+                  return peering::SendCrashUpdate(caller, std::move(news));
                 }),
         plain(io, runtime, pool, protocol, follower.View(), crashes, node.zone),
         stores_caller(pool, {}),
--- a/packages/fleet/request_warning.h
+++ b/packages/fleet/request_warning.h
@@ -33,14 +33,14 @@
 
 // The crashes and served requests that a process observed since its last report
 // to the control leader.
-struct crash_news {
+struct crash_update {
   std::vector<crash_report> reports;
   // Digests of requests that an endpoint served without a crash.
   std::vector<std::string> served;
   // Cleared crashes that the list of the leader lacks.
   std::vector<forgiven_ends> forgiven;
 };
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(crash_news, reports, served,
+NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(crash_update, reports, served,
                                                 forgiven)
 
 // The record of one request that the control leader sends to all processes.
--- a/packages/hickoryd/call_quarantine.h
+++ b/packages/hickoryd/call_quarantine.h
@@ -23,7 +23,7 @@
 // The update that one instance sends to another.
 struct quarantine_news {
   // Crashes and releases that the sender observed since its last update.
-  fleet::crash_news seen;
+  fleet::crash_update seen;
   // Connections that broke while a request ran. Whether the endpoint crashed is
   // confirmed later, and the request may be retried before that.
   std::vector<fleet::crash_report> doubts;
--- a/packages/peering/leader_caller.cc
+++ b/packages/peering/leader_caller.cc
@@ -135,9 +135,10 @@
   co_return answer;
 }
 
-awaitable<bool> TellCrashNews(leader_caller& caller, fleet::crash_news update) {
+awaitable<bool> SendCrashUpdate(leader_caller& caller,
+                                fleet::crash_update update) {
   const envelope answer = co_await caller.Ask(
-      kCrashNewsMethod, core::EncodeBinary(update),
+      kCrashUpdateMethod, core::EncodeBinary(update),
       std::chrono::steady_clock::now() + kCrashUpdateTimeout,
       kCrashUpdateAttemptTimeout);
   co_return answer.outcome == call_outcome::kDone;
--- a/packages/peering/leader_caller.h
+++ b/packages/peering/leader_caller.h
@@ -61,8 +61,8 @@
 
 // Reports requests that were running when endpoints crashed to the control
 // leader. Returns false when the report may not have arrived.
-boost::asio::awaitable<bool> TellCrashNews(leader_caller& caller,
-                                           fleet::crash_news update);
+boost::asio::awaitable<bool> SendCrashUpdate(leader_caller& caller,
+                                             fleet::crash_update update);
 
 }  // namespace hickorywood::peering
 
--- a/packages/peering/messages.h
+++ b/packages/peering/messages.h
@@ -33,7 +33,7 @@
 constexpr char kPublishVersionMethod[] = "publish_version";
 // Reports of requests that were running when endpoints crashed; the list of all
 // such requests; and the release of one of them by an operator.
-constexpr char kCrashNewsMethod[] = "crash_news";
+constexpr char kCrashUpdateMethod[] = "crash_news";
 constexpr char kWarningsMethod[] = "warnings";
 constexpr char kLiftMethod[] = "lift";
 constexpr char kOpenStepMethod[] = "open_step";
--- a/packages/quarantine/crash_watch.cc
+++ b/packages/quarantine/crash_watch.cc
@@ -312,7 +312,7 @@
       co_await outbox_changed_.WaitUntil(time_point::max());
       continue;
     }
-    fleet::crash_news update = std::exchange(outbox_, {});
+    fleet::crash_update update = std::exchange(outbox_, {});
     const bool is_sent = co_await send_update_(update);
     if (is_sent) continue;
     // Appended to what was queued during the call: the order does not matter.
--- a/packages/quarantine/crash_watch.h
+++ b/packages/quarantine/crash_watch.h
@@ -29,7 +29,7 @@
   // Sends an update to the control leader. False: the leader may not have
   // received it.
   using update_sender =
-      std::function<boost::asio::awaitable<bool>(fleet::crash_news)>;
+      std::function<boost::asio::awaitable<bool>(fleet::crash_update)>;
 
   crash_watch(boost::asio::io_context& loop, const core::runtime_clock& clock,
               net::connection_pool& pool, const fleet::view& view,
@@ -101,7 +101,7 @@
   std::map<std::string, disconnected_endpoint> disconnected_;  // by incarnation
   std::map<std::string, unresponsive_endpoint> unresponsive_;  // by incarnation
   crash_ledger ledger_;
-  fleet::crash_news outbox_;
+  fleet::crash_update outbox_;
   net::event outbox_changed_;
   // Of the view that was processed last.
   uint64_t last_view_term_ = 0;
--- a/tests/unit/entry/relay_test.cc
+++ b/tests/unit/entry/relay_test.cc
@@ -45,8 +45,9 @@
   test_entry(io_context& loop, const std::vector<std::string>& endpoints,
              milliseconds timeout, milliseconds objective)
       : pool_(loop),
-        crashes_(loop, clock_, pool_, view_,
-                 [](fleet::crash_news) -> awaitable<bool> { co_return true; }),
+        crashes_(
+            loop, clock_, pool_, view_,
+            [](fleet::crash_update) -> awaitable<bool> { co_return true; }),
         relay_(loop, clock_, pool_, *wire_, view_, crashes_, "z"),
         listener_(loop, ListenerOptions(),
                   [this](net::exchange& call) { return Serve(call); }) {
--- a/tests/unit/quarantine/crash_watch_test.cc
+++ b/tests/unit/quarantine/crash_watch_test.cc
@@ -36,7 +36,7 @@
     watch_.Start();
   }
 
-  boost::asio::awaitable<bool> ReceiveUpdate(fleet::crash_news update) {
+  boost::asio::awaitable<bool> ReceiveUpdate(fleet::crash_update update) {
     if (!is_leader_reachable_) co_return false;
     for (const auto& item : update.reports) reports_.push_back(item);
     for (const auto& item : update.served) served_.push_back(item);
@@ -90,7 +90,7 @@
   std::vector<std::string> served_;
   std::vector<std::unique_ptr<net::listener>> listeners_;
   crash_watch watch_{loop_, clock_, pool_, view_,
-                     [this](fleet::crash_news update) {
+                     [this](fleet::crash_update update) {
                        return ReceiveUpdate(std::move(update));
                      }};
 };
--- a/tests/unit/store/reward_caller_test.cc
+++ b/tests/unit/store/reward_caller_test.cc
@@ -114,7 +114,7 @@
   fleet::view view_;
   quarantine::crash_watch crashes_{
       loop_, clock_, pool_, view_,
-      [](fleet::crash_news) -> boost::asio::awaitable<bool> {
+      [](fleet::crash_update) -> boost::asio::awaitable<bool> {
         co_return true;
       }};
   routing::request_sender sender_{loop_, clock_,   pool_, *wire_,
