--- a/packages/controller/leader_service.cc
+++ b/packages/controller/leader_service.cc
@@ -402,7 +402,7 @@
   for (const fleet::crash_report& report : input->reports) {
     NoteQuarantines(quarantine::NoteEnd(crashes_, report, now));
   }
-  for (const fleet::forgiven_ends& item : input->forgiven) {
+  for (const fleet::cleared_crashes& item : input->forgiven) {
     NoteQuarantines(quarantine::Forgive(crashes_, item, now));
   }
   for (const std::string& digest : input->served) {
--- a/packages/fleet/request_warning.h
+++ b/packages/fleet/request_warning.h
@@ -23,13 +23,13 @@
 
 // Crashes that are not attributed to a request, because it was served
 // afterwards or an operator released it.
-struct forgiven_ends {
+struct cleared_crashes {
   std::string digest;
   std::string customer;
   std::vector<std::string> ends;
 };
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(forgiven_ends, digest, customer,
-                                                ends)
+NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(cleared_crashes, digest,
+                                                customer, ends)
 
 // The crashes and served requests that a process observed since its last report
 // to the control leader.
@@ -38,7 +38,7 @@
   // Digests of requests that an endpoint served without a crash.
   std::vector<std::string> served;
   // Cleared crashes that the list of the leader lacks.
-  std::vector<forgiven_ends> forgiven;
+  std::vector<cleared_crashes> forgiven;
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(crash_update, reports, served,
                                                 forgiven)
--- a/packages/hickoryd/call_quarantine.cc
+++ b/packages/hickoryd/call_quarantine.cc
@@ -329,8 +329,8 @@
   }
   const core::time_point now = context_.clock.Now();
   for (const fleet::request_warning& item : list->warnings) {
-    const fleet::forgiven_ends forgiven{item.digest, item.customer,
-                                        item.forgiven};
+    const fleet::cleared_crashes forgiven{item.digest, item.customer,
+                                          item.forgiven};
     quarantine::LogChanges(ledger_,
                            quarantine::Forgive(ledger_, forgiven, now));
     for (const std::string& crash : item.ends) {
--- a/packages/quarantine/crash_ledger.cc
+++ b/packages/quarantine/crash_ledger.cc
@@ -253,7 +253,7 @@
 }  // namespace
 
 std::vector<standing_change> Forgive(crash_ledger& ledger,
-                                     const fleet::forgiven_ends& input,
+                                     const fleet::cleared_crashes& input,
                                      time_point now) {
   if (ledger.suspects.count(input.digest) == 0) EvictIfFull(ledger);
   suspect& item = ledger.suspects[input.digest];
--- a/packages/quarantine/crash_ledger.h
+++ b/packages/quarantine/crash_ledger.h
@@ -108,7 +108,7 @@
 
 // Clears the listed crashes of a request.
 std::vector<standing_change> Forgive(crash_ledger& ledger,
-                                     const fleet::forgiven_ends& input,
+                                     const fleet::cleared_crashes& input,
                                      core::time_point now);
 
 // Ends quarantines whose time is up and removes requests with old crashes. A
--- a/packages/quarantine/crash_watch.cc
+++ b/packages/quarantine/crash_watch.cc
@@ -293,7 +293,7 @@
       if (outbox_.reports.size() >= kMostReports) return;
       outbox_.reports.push_back({digest, item.customer, crash});
     }
-    fleet::forgiven_ends cleared{digest, item.customer, {}};
+    fleet::cleared_crashes cleared{digest, item.customer, {}};
     for (const std::string& crash : item.cleared) {
       if (!Has(warning.forgiven, crash)) cleared.ends.push_back(crash);
     }
