--- a/packages/entry/relay.cc
+++ b/packages/entry/relay.cc
@@ -193,8 +193,8 @@
   routing::endpoint_book& book = sender_.Book();
   std::set<std::string> tried;
   const quarantine::request_identity identity = quarantine::IdentityOf(input);
-  const quarantine::verdict found = crashes_.Check(identity);
-  if (found.standing == quarantine::request_standing::kQuarantined) {
+  const quarantine::quarantine_decision found = crashes_.Check(identity);
+  if (found.state == quarantine::request_standing::kQuarantined) {
     const std::string reason = "endpoints crash while running this request";
     LogEvent(event_id::kRequestRefused, {{"request", wire_.RequestId(input)},
                                          {"digest", found.digest},
--- a/packages/hickoryd/call_quarantine.cc
+++ b/packages/hickoryd/call_quarantine.cc
@@ -91,21 +91,21 @@
   context_.traffic.After(milliseconds(0), [this] { SendQueuedUpdates(); });
 }
 
-quarantine::verdict call_quarantine::Check(
+quarantine::quarantine_decision call_quarantine::Check(
     const quarantine::request_identity& input) const {
   const core::time_point now = context_.clock.Now();
   if (unconfirmed_.empty()) return quarantine::Check(ledger_, key_, input, now);
-  quarantine::verdict found =
+  quarantine::quarantine_decision found =
       quarantine::CheckDigest(ledger_, quarantine::DigestOf(key_, input), now);
-  if (found.standing == quarantine::request_standing::kQuarantined) {
+  if (found.state == quarantine::request_standing::kQuarantined) {
     return found;
   }
   const size_t crash_count = CrashesOf(found.digest).size();
   if (crash_count >= ledger_.options.most_ends) {
-    found.standing = quarantine::request_standing::kQuarantined;
+    found.state = quarantine::request_standing::kQuarantined;
     found.left = kConfirmationTime;
   } else if (crash_count + 1 >= ledger_.options.most_ends) {
-    found.standing = quarantine::request_standing::kSuspected;
+    found.state = quarantine::request_standing::kSuspected;
   }
   return found;
 }
--- a/packages/hickoryd/call_quarantine.h
+++ b/packages/hickoryd/call_quarantine.h
@@ -15,8 +15,8 @@
 #include "hickoryd/context.h"
 #include "membership/endpoint_table.h"
 #include "quarantine/crash_ledger.h"
+#include "quarantine/quarantine_decision.h"
 #include "quarantine/request_digest.h"
-#include "quarantine/verdict.h"
 
 namespace hickorywood::hickoryd {
 
@@ -52,7 +52,8 @@
   // Schedules the timers. Call before the traffic loop starts.
   void Start();
 
-  quarantine::verdict Check(const quarantine::request_identity& input) const;
+  quarantine::quarantine_decision Check(
+      const quarantine::request_identity& input) const;
 
   // The connection to `target` broke before the response to a request was
   // complete. It counts as a crash until the crash is confirmed or
--- a/packages/hickoryd/call_service.cc
+++ b/packages/hickoryd/call_service.cc
@@ -220,8 +220,9 @@
     Settle(call, failure);
     return;
   }
-  const quarantine::verdict verdict = quarantine_.Check(IdentityOf(call->call));
-  if (verdict.standing == quarantine::request_standing::kQuarantined) {
+  const quarantine::quarantine_decision verdict =
+      quarantine_.Check(IdentityOf(call->call));
+  if (verdict.state == quarantine::request_standing::kQuarantined) {
     FailAsQuarantined(call, verdict.left);
     return;
   }
@@ -395,7 +396,7 @@
   // crash would quarantine a suspected call, so it is not repeated now.
   const bool may_have_crashed = response.how == delivery::kMaybeSent;
   const bool must_wait =
-      may_have_crashed && quarantine_.Check(IdentityOf(call->call)).standing !=
+      may_have_crashed && quarantine_.Check(IdentityOf(call->call)).state !=
                               quarantine::request_standing::kClear;
   const bool may_repeat =
       did_not_run || (call->kind == repeatability::kIdempotent && !must_wait);
--- a/packages/hickoryd/generation_attempt.cc
+++ b/packages/hickoryd/generation_attempt.cc
@@ -187,7 +187,7 @@
   }
   context_.counters.CountRetry(item.request.pool);
   item.request.avoid_engine = engine;
-  const bool is_suspected = quarantine_.Check(IdentityOf(item)).standing !=
+  const bool is_suspected = quarantine_.Check(IdentityOf(item)).state !=
                             quarantine::request_standing::kClear;
   Requeue(item, is_suspected ? kSuspectedPause : kFailurePause);
 }
@@ -204,8 +204,9 @@
 }
 
 bool generation_service::FailIfQuarantined(generation& item) {
-  const quarantine::verdict verdict = quarantine_.Check(IdentityOf(item));
-  if (verdict.standing != quarantine::request_standing::kQuarantined) {
+  const quarantine::quarantine_decision verdict =
+      quarantine_.Check(IdentityOf(item));
+  if (verdict.state != quarantine::request_standing::kQuarantined) {
     return false;
   }
   item.was_quarantined = true;
--- a/packages/quarantine/crash_watch.cc
+++ b/packages/quarantine/crash_watch.cc
@@ -81,12 +81,12 @@
   return key.empty() ? "" : quarantine::DigestOf(key, input);
 }
 
-verdict crash_watch::Check(const request_identity& input) const {
+quarantine_decision crash_watch::Check(const request_identity& input) const {
   return quarantine::Check(ledger_, view_.members.digest_key, input,
                            clock_.Now());
 }
 
-verdict crash_watch::CheckDigest(const std::string& digest) const {
+quarantine_decision crash_watch::CheckDigest(const std::string& digest) const {
   return quarantine::CheckDigest(ledger_, digest, clock_.Now());
 }
 
--- a/packages/quarantine/crash_watch.h
+++ b/packages/quarantine/crash_watch.h
@@ -19,8 +19,8 @@
 #include "net/connection_pool.h"
 #include "net/event.h"
 #include "quarantine/crash_ledger.h"
+#include "quarantine/quarantine_decision.h"
 #include "quarantine/request_digest.h"
-#include "quarantine/verdict.h"
 
 namespace hickorywood::quarantine {
 
@@ -55,8 +55,8 @@
   size_t ProbesInProgress() const;
   // True if no request is suspected; then requests need no check.
   bool IsQuiet() const { return ledger_.suspects.empty(); }
-  verdict Check(const request_identity& input) const;
-  verdict CheckDigest(const std::string& digest) const;
+  quarantine_decision Check(const request_identity& input) const;
+  quarantine_decision CheckDigest(const std::string& digest) const;
   // Empty until the control group has generated the digest key.
   std::string DigestOf(const request_identity& input) const;
 
--- a/packages/quarantine/verdict.cc
+++ b/packages/quarantine/quarantine_decision.cc
@@ -1,4 +1,4 @@
-#include "quarantine/verdict.h"
+#include "quarantine/quarantine_decision.h"
 
 namespace hickorywood::quarantine {
 
@@ -8,18 +8,19 @@
   return HasHead(ledger, DigestHeadOf(key, input));
 }
 
-verdict Check(const crash_ledger& ledger, std::string_view key,
-              const request_identity& input, core::time_point now) {
+quarantine_decision Check(const crash_ledger& ledger, std::string_view key,
+                          const request_identity& input, core::time_point now) {
   if (!MayBeKnown(ledger, key, input)) return {};
   return CheckDigest(ledger, DigestOf(key, input), now);
 }
 
-verdict CheckDigest(const crash_ledger& ledger, const std::string& digest,
-                    core::time_point now) {
-  verdict decision;
+quarantine_decision CheckDigest(const crash_ledger& ledger,
+                                const std::string& digest,
+                                core::time_point now) {
+  quarantine_decision decision;
   decision.digest = digest;
-  decision.standing = StandingOf(ledger, digest, now);
-  if (decision.standing == request_standing::kQuarantined) {
+  decision.state = StandingOf(ledger, digest, now);
+  if (decision.state == request_standing::kQuarantined) {
     decision.left = std::chrono::ceil<core::milliseconds>(
         ledger.suspects.at(digest).quarantined_until - now);
   }
--- a/packages/quarantine/verdict.h
+++ b/packages/quarantine/quarantine_decision.h
@@ -1,5 +1,5 @@
-#ifndef HICKORYWOOD_QUARANTINE_VERDICT_H_
-#define HICKORYWOOD_QUARANTINE_VERDICT_H_
+#ifndef HICKORYWOOD_QUARANTINE_QUARANTINE_DECISION_H_
+#define HICKORYWOOD_QUARANTINE_QUARANTINE_DECISION_H_
 
 // Decides from a ledger whether a request may be sent.
 
@@ -14,8 +14,8 @@
 namespace hickorywood::quarantine {
 
 // State of one request.
-struct verdict {
-  request_standing standing = request_standing::kClear;
+struct quarantine_decision {
+  request_standing state = request_standing::kClear;
   // Empty: the request is not in the ledger, so its digest was not computed.
   std::string digest;
   core::milliseconds left{0};  // until the quarantine ends
@@ -27,11 +27,12 @@
                 const request_identity& input);
 
 // `key` is the key of the digests.
-verdict Check(const crash_ledger& ledger, std::string_view key,
-              const request_identity& input, core::time_point now);
-verdict CheckDigest(const crash_ledger& ledger, const std::string& digest,
-                    core::time_point now);
+quarantine_decision Check(const crash_ledger& ledger, std::string_view key,
+                          const request_identity& input, core::time_point now);
+quarantine_decision CheckDigest(const crash_ledger& ledger,
+                                const std::string& digest,
+                                core::time_point now);
 
 }  // namespace hickorywood::quarantine
 
-#endif  // HICKORYWOOD_QUARANTINE_VERDICT_H_
+#endif  // HICKORYWOOD_QUARANTINE_QUARANTINE_DECISION_H_
--- a/packages/routing/request_sender.cc
+++ b/packages/routing/request_sender.cc
@@ -129,10 +129,9 @@
 
 bool request_sender::IsSendable(
     send_state& state, const quarantine::request_identity& identity) const {
-  const quarantine::verdict found = crashes_.Check(identity);
-  state.is_suspected =
-      found.standing == quarantine::request_standing::kSuspected;
-  if (found.standing != quarantine::request_standing::kQuarantined) {
+  const quarantine::quarantine_decision found = crashes_.Check(identity);
+  state.is_suspected = found.state == quarantine::request_standing::kSuspected;
+  if (found.state != quarantine::request_standing::kQuarantined) {
     return true;
   }
   state.quarantined_for = found.left;
--- a/packages/store/dispatcher_runs.cc
+++ b/packages/store/dispatcher_runs.cc
@@ -324,7 +324,7 @@
     task.digest = crashes_.DigestOf(*identity);
   }
   const bool was_waiting_for_quarantine = task.is_waiting_for_quarantine;
-  task.is_waiting_for_quarantine = crashes_.CheckDigest(task.digest).standing ==
+  task.is_waiting_for_quarantine = crashes_.CheckDigest(task.digest).state ==
                                    quarantine::request_standing::kQuarantined;
   if (task.is_waiting_for_quarantine && !was_waiting_for_quarantine) {
     LogEvent(event_id::kTaskHeldBack, {{"step", key.step},
