--- a/packages/controller/leader_service.cc
+++ b/packages/controller/leader_service.cc
@@ -11,7 +11,7 @@
 #include "core/events.h"
 #include "core/ids.h"
 #include "group/leader_calls.h"
-#include "quarantine/standing_log.h"
+#include "quarantine/quarantine_log.h"
 
 namespace hickorywood::controller {
 namespace {
@@ -390,7 +390,7 @@
 }
 
 void leader_service::NoteQuarantines(
-    const std::vector<quarantine::standing_change>& changes) {
+    const std::vector<quarantine::quarantine_change>& changes) {
   quarantine::LogChanges(crashes_, changes);
   views_.NoteWarnings();
 }
--- a/packages/controller/leader_service.h
+++ b/packages/controller/leader_service.h
@@ -69,7 +69,8 @@
   void NoteStore(const fleet::view_request& input);
   void ExpireStores();
   // Logs the changed quarantines and publishes them.
-  void NoteQuarantines(const std::vector<quarantine::standing_change>& changes);
+  void NoteQuarantines(
+      const std::vector<quarantine::quarantine_change>& changes);
   boost::asio::awaitable<void> CommitDigestKey();
   boost::asio::awaitable<void> KeepHouse();
   void NoteEndpointsChanged();
--- a/packages/entry/relay.cc
+++ b/packages/entry/relay.cc
@@ -194,7 +194,7 @@
   std::set<std::string> tried;
   const quarantine::request_identity identity = quarantine::IdentityOf(input);
   const quarantine::quarantine_decision found = crashes_.Check(identity);
-  if (found.state == quarantine::request_standing::kQuarantined) {
+  if (found.state == quarantine::quarantine_state::kQuarantined) {
     const std::string reason = "endpoints crash while running this request";
     LogEvent(event_id::kRequestRefused, {{"request", wire_.RequestId(input)},
                                          {"digest", found.digest},
--- a/packages/hickoryd/call_quarantine.cc
+++ b/packages/hickoryd/call_quarantine.cc
@@ -5,7 +5,7 @@
 #include <utility>
 
 #include "core/events.h"
-#include "quarantine/standing_log.h"
+#include "quarantine/quarantine_log.h"
 
 namespace hickorywood::hickoryd {
 namespace {
@@ -97,15 +97,15 @@
   if (unconfirmed_.empty()) return quarantine::Check(ledger_, key_, input, now);
   quarantine::quarantine_decision found =
       quarantine::CheckDigest(ledger_, quarantine::DigestOf(key_, input), now);
-  if (found.state == quarantine::request_standing::kQuarantined) {
+  if (found.state == quarantine::quarantine_state::kQuarantined) {
     return found;
   }
   const size_t crash_count = CrashesOf(found.digest).size();
   if (crash_count >= ledger_.options.most_ends) {
-    found.state = quarantine::request_standing::kQuarantined;
+    found.state = quarantine::quarantine_state::kQuarantined;
     found.left = kConfirmationTime;
   } else if (crash_count + 1 >= ledger_.options.most_ends) {
-    found.state = quarantine::request_standing::kSuspected;
+    found.state = quarantine::quarantine_state::kSuspected;
   }
   return found;
 }
--- a/packages/hickoryd/call_service.cc
+++ b/packages/hickoryd/call_service.cc
@@ -222,7 +222,7 @@
   }
   const quarantine::quarantine_decision verdict =
       quarantine_.Check(IdentityOf(call->call));
-  if (verdict.state == quarantine::request_standing::kQuarantined) {
+  if (verdict.state == quarantine::quarantine_state::kQuarantined) {
     FailAsQuarantined(call, verdict.left);
     return;
   }
@@ -397,7 +397,7 @@
   const bool may_have_crashed = response.how == delivery::kMaybeSent;
   const bool must_wait =
       may_have_crashed && quarantine_.Check(IdentityOf(call->call)).state !=
-                              quarantine::request_standing::kClear;
+                              quarantine::quarantine_state::kClear;
   const bool may_repeat =
       did_not_run || (call->kind == repeatability::kIdempotent && !must_wait);
   const bool has_time =
--- a/packages/hickoryd/generation_attempt.cc
+++ b/packages/hickoryd/generation_attempt.cc
@@ -188,7 +188,7 @@
   context_.counters.CountRetry(item.request.pool);
   item.request.avoid_engine = engine;
   const bool is_suspected = quarantine_.Check(IdentityOf(item)).state !=
-                            quarantine::request_standing::kClear;
+                            quarantine::quarantine_state::kClear;
   Requeue(item, is_suspected ? kSuspectedPause : kFailurePause);
 }
 
@@ -206,7 +206,7 @@
 bool generation_service::FailIfQuarantined(generation& item) {
   const quarantine::quarantine_decision verdict =
       quarantine_.Check(IdentityOf(item));
-  if (verdict.state != quarantine::request_standing::kQuarantined) {
+  if (verdict.state != quarantine::quarantine_state::kQuarantined) {
     return false;
   }
   item.was_quarantined = true;
--- a/packages/quarantine/crash_ledger.cc
+++ b/packages/quarantine/crash_ledger.cc
@@ -155,7 +155,7 @@
 
 void ReleaseExplainedRequests(crash_ledger& ledger, const std::string& digest,
                               const suspect& cause, time_point now,
-                              std::vector<standing_change>& changes) {
+                              std::vector<quarantine_change>& changes) {
   for (const std::string& other :
        FindRequestsWithSharedCrash(ledger, digest, cause)) {
     suspect& other_request = ledger.suspects.at(other);
@@ -187,10 +187,10 @@
   return "";
 }
 
-std::vector<standing_change> NoteEnd(crash_ledger& ledger,
-                                     const fleet::crash_report& report,
-                                     time_point now) {
-  std::vector<standing_change> changes;
+std::vector<quarantine_change> NoteEnd(crash_ledger& ledger,
+                                       const fleet::crash_report& report,
+                                       time_point now) {
+  std::vector<quarantine_change> changes;
   const auto existing = ledger.suspects.find(report.digest);
   if (existing != ledger.suspects.end()) {
     const bool is_recorded =
@@ -219,9 +219,9 @@
   return changes;
 }
 
-std::vector<standing_change> Release(crash_ledger& ledger,
-                                     const std::string& digest,
-                                     release_reason reason, time_point now) {
+std::vector<quarantine_change> Release(crash_ledger& ledger,
+                                       const std::string& digest,
+                                       release_reason reason, time_point now) {
   const auto found = ledger.suspects.find(digest);
   if (found == ledger.suspects.end()) return {};
   suspect& item = found->second;
@@ -252,9 +252,9 @@
 
 }  // namespace
 
-std::vector<standing_change> Forgive(crash_ledger& ledger,
-                                     const fleet::cleared_crashes& input,
-                                     time_point now) {
+std::vector<quarantine_change> Forgive(crash_ledger& ledger,
+                                       const fleet::cleared_crashes& input,
+                                       time_point now) {
   if (ledger.suspects.count(input.digest) == 0) EvictIfFull(ledger);
   suspect& item = ledger.suspects[input.digest];
   item.customer = input.customer;
@@ -270,8 +270,8 @@
   return {{input.digest, false, release_reason::kCleared}};
 }
 
-std::vector<standing_change> Expire(crash_ledger& ledger, time_point now) {
-  std::vector<standing_change> changes;
+std::vector<quarantine_change> Expire(crash_ledger& ledger, time_point now) {
+  std::vector<quarantine_change> changes;
   std::vector<std::string> expired;
   for (auto& [digest, item] : ledger.suspects) {
     if (item.is_quarantined) {
@@ -296,16 +296,16 @@
   return changes;
 }
 
-request_standing StandingOf(const crash_ledger& ledger,
-                            const std::string& digest, time_point now) {
+quarantine_state QuarantineStateOf(const crash_ledger& ledger,
+                                   const std::string& digest, time_point now) {
   const auto found = ledger.suspects.find(digest);
-  if (found == ledger.suspects.end()) return request_standing::kClear;
+  if (found == ledger.suspects.end()) return quarantine_state::kClear;
   const suspect& item = found->second;
   if (item.is_quarantined && now < item.quarantined_until) {
-    return request_standing::kQuarantined;
+    return quarantine_state::kQuarantined;
   }
-  return item.ends.size() >= kMinCrashesToWarn ? request_standing::kSuspected
-                                               : request_standing::kClear;
+  return item.ends.size() >= kMinCrashesToWarn ? quarantine_state::kSuspected
+                                               : quarantine_state::kClear;
 }
 
 bool HasHead(const crash_ledger& ledger, const std::string& head) {
--- a/packages/quarantine/crash_ledger.h
+++ b/packages/quarantine/crash_ledger.h
@@ -69,7 +69,7 @@
   std::map<std::string, std::set<std::string>> by_crash;
 };
 
-enum class request_standing {
+enum class quarantine_state {
   kClear,
   // One more crash quarantines the request: it is sent to one endpoint only,
   // without a hedge.
@@ -87,7 +87,7 @@
 const char* WordOf(release_reason reason);
 
 // A quarantine began or ended.
-struct standing_change {
+struct quarantine_change {
   std::string digest;
   bool is_quarantined = false;
   release_reason reason = release_reason::kExpired;  // if it ended
@@ -95,29 +95,31 @@
 
 // Records that an endpoint crashed under a request. A report that was recorded
 // before changes nothing.
-std::vector<standing_change> NoteEnd(crash_ledger& ledger,
-                                     const fleet::crash_report& report,
-                                     core::time_point now);
+std::vector<quarantine_change> NoteEnd(crash_ledger& ledger,
+                                       const fleet::crash_report& report,
+                                       core::time_point now);
 
 // Clears all crashes of a request. Later reports of the same crashes don't
 // count.
-std::vector<standing_change> Release(crash_ledger& ledger,
-                                     const std::string& digest,
-                                     release_reason reason,
-                                     core::time_point now);
+std::vector<quarantine_change> Release(crash_ledger& ledger,
+                                       const std::string& digest,
+                                       release_reason reason,
+                                       core::time_point now);
 
 // Clears the listed crashes of a request.
-std::vector<standing_change> Forgive(crash_ledger& ledger,
-                                     const fleet::cleared_crashes& input,
-                                     core::time_point now);
+std::vector<quarantine_change> Forgive(crash_ledger& ledger,
+                                       const fleet::cleared_crashes& input,
+                                       core::time_point now);
 
 // Ends quarantines whose time is up and removes requests with old crashes. A
 // request whose quarantine expired stays suspected: one more crash begins the
 // next quarantine.
-std::vector<standing_change> Expire(crash_ledger& ledger, core::time_point now);
+std::vector<quarantine_change> Expire(crash_ledger& ledger,
+                                      core::time_point now);
 
-request_standing StandingOf(const crash_ledger& ledger,
-                            const std::string& digest, core::time_point now);
+quarantine_state QuarantineStateOf(const crash_ledger& ledger,
+                                   const std::string& digest,
+                                   core::time_point now);
 
 // Whether the ledger has a request whose digest begins with `head`.
 bool HasHead(const crash_ledger& ledger, const std::string& head);
--- a/packages/quarantine/quarantine_decision.cc
+++ b/packages/quarantine/quarantine_decision.cc
@@ -19,8 +19,8 @@
                                 core::time_point now) {
   quarantine_decision decision;
   decision.digest = digest;
-  decision.state = StandingOf(ledger, digest, now);
-  if (decision.state == request_standing::kQuarantined) {
+  decision.state = QuarantineStateOf(ledger, digest, now);
+  if (decision.state == quarantine_state::kQuarantined) {
     decision.left = std::chrono::ceil<core::milliseconds>(
         ledger.suspects.at(digest).quarantined_until - now);
   }
--- a/packages/quarantine/quarantine_decision.h
+++ b/packages/quarantine/quarantine_decision.h
@@ -15,7 +15,7 @@
 
 // State of one request.
 struct quarantine_decision {
-  request_standing state = request_standing::kClear;
+  quarantine_state state = quarantine_state::kClear;
   // Empty: the request is not in the ledger, so its digest was not computed.
   std::string digest;
   core::milliseconds left{0};  // until the quarantine ends
--- a/packages/quarantine/standing_log.cc
+++ b/packages/quarantine/quarantine_log.cc
@@ -1,4 +1,4 @@
-#include "quarantine/standing_log.h"
+#include "quarantine/quarantine_log.h"
 
 #include <absl/strings/str_join.h>
 
@@ -12,8 +12,8 @@
 using core::LogEvent;
 
 void LogChanges(const crash_ledger& ledger,
-                const std::vector<standing_change>& changes) {
-  for (const standing_change& item : changes) {
+                const std::vector<quarantine_change>& changes) {
+  for (const quarantine_change& item : changes) {
     if (!item.is_quarantined) {
       LogEvent(event_id::kQuarantineLifted,
                {{"digest", item.digest}, {"reason", WordOf(item.reason)}});
--- a/packages/quarantine/standing_log.h
+++ b/packages/quarantine/quarantine_log.h
@@ -1,5 +1,5 @@
-#ifndef HICKORYWOOD_QUARANTINE_STANDING_LOG_H_
-#define HICKORYWOOD_QUARANTINE_STANDING_LOG_H_
+#ifndef HICKORYWOOD_QUARANTINE_QUARANTINE_LOG_H_
+#define HICKORYWOOD_QUARANTINE_QUARANTINE_LOG_H_
 
 #include <vector>
 
@@ -9,8 +9,8 @@
 
 // Logs an event for each quarantine in `ledger` that began or ended.
 void LogChanges(const crash_ledger& ledger,
-                const std::vector<standing_change>& changes);
+                const std::vector<quarantine_change>& changes);
 
 }  // namespace hickorywood::quarantine
 
-#endif  // HICKORYWOOD_QUARANTINE_STANDING_LOG_H_
+#endif  // HICKORYWOOD_QUARANTINE_QUARANTINE_LOG_H_
--- a/packages/routing/request_sender.cc
+++ b/packages/routing/request_sender.cc
@@ -130,8 +130,8 @@
 bool request_sender::IsSendable(
     send_state& state, const quarantine::request_identity& identity) const {
   const quarantine::quarantine_decision found = crashes_.Check(identity);
-  state.is_suspected = found.state == quarantine::request_standing::kSuspected;
-  if (found.state != quarantine::request_standing::kQuarantined) {
+  state.is_suspected = found.state == quarantine::quarantine_state::kSuspected;
+  if (found.state != quarantine::quarantine_state::kQuarantined) {
     return true;
   }
   state.quarantined_for = found.left;
--- a/packages/store/dispatcher_runs.cc
+++ b/packages/store/dispatcher_runs.cc
@@ -325,7 +325,7 @@
   }
   const bool was_waiting_for_quarantine = task.is_waiting_for_quarantine;
   task.is_waiting_for_quarantine = crashes_.CheckDigest(task.digest).state ==
-                                   quarantine::request_standing::kQuarantined;
+                                   quarantine::quarantine_state::kQuarantined;
   if (task.is_waiting_for_quarantine && !was_waiting_for_quarantine) {
     LogEvent(event_id::kTaskHeldBack, {{"step", key.step},
                                        {"task", Text(key.task)},
--- a/tests/unit/quarantine/crash_ledger_test.cc
+++ b/tests/unit/quarantine/crash_ledger_test.cc
@@ -13,8 +13,8 @@
 
 class CrashLedgerTest : public ::testing::Test {
  protected:
-  std::vector<standing_change> RecordOneCrash(const std::string& digest,
-                                              const std::string& incarnation) {
+  std::vector<quarantine_change> RecordOneCrash(
+      const std::string& digest, const std::string& incarnation) {
     return NoteEnd(ledger_, {digest, "customer", incarnation}, now_);
   }
 
@@ -23,12 +23,12 @@
     for (const std::string& item : incarnations) RecordOneCrash(digest, item);
   }
 
-  request_standing State(const std::string& digest) const {
-    return StandingOf(ledger_, digest, now_);
+  quarantine_state State(const std::string& digest) const {
+    return QuarantineStateOf(ledger_, digest, now_);
   }
 
   bool IsQuarantined(const std::string& digest) const {
-    return State(digest) == request_standing::kQuarantined;
+    return State(digest) == quarantine_state::kQuarantined;
   }
 
   void AdvanceTime(seconds time) {
@@ -42,9 +42,9 @@
 
 TEST_F(CrashLedgerTest, ThirdCrashQuarantines) {
   RecordOneCrash("cause", "a");
-  EXPECT_EQ(State("cause"), request_standing::kClear);
+  EXPECT_EQ(State("cause"), quarantine_state::kClear);
   RecordOneCrash("cause", "b");
-  EXPECT_EQ(State("cause"), request_standing::kSuspected);
+  EXPECT_EQ(State("cause"), quarantine_state::kSuspected);
   const auto changes = RecordOneCrash("cause", "c");
   EXPECT_TRUE(IsQuarantined("cause"));
   ASSERT_EQ(changes.size(), 1U);
@@ -65,7 +65,7 @@
     for (const char* end : {"a", "b", "c"}) {
       NoteEnd(next, {"cause", "customer", end}, now_);
     }
-    EXPECT_EQ(StandingOf(next, "cause", now_), request_standing::kClear);
+    EXPECT_EQ(QuarantineStateOf(next, "cause", now_), quarantine_state::kClear);
   }
 }
 
@@ -76,12 +76,13 @@
   crash_ledger other = ledger_;
   Release(ledger_, "cause", release_reason::kOperator, now_);
   for (const auto& item : ListWarnings(ledger_)) Adopt(other, item, now_);
-  EXPECT_EQ(StandingOf(other, "cause", now_), request_standing::kClear);
+  EXPECT_EQ(QuarantineStateOf(other, "cause", now_), quarantine_state::kClear);
   // Later crashes count.
   for (const char* end : {"d", "e", "f"}) {
     NoteEnd(other, {"cause", "customer", end}, now_);
   }
-  EXPECT_EQ(StandingOf(other, "cause", now_), request_standing::kQuarantined);
+  EXPECT_EQ(QuarantineStateOf(other, "cause", now_),
+            quarantine_state::kQuarantined);
 }
 
 // Instances report their crashes again when the leader changes.
@@ -152,7 +153,7 @@
 TEST_F(CrashLedgerTest, EachFurtherQuarantineIsLonger) {
   RecordCrashes("cause", {"a", "b", "c"});
   AdvanceTime(ledger_.options.base_duration);
-  EXPECT_EQ(State("cause"), request_standing::kSuspected);
+  EXPECT_EQ(State("cause"), quarantine_state::kSuspected);
   RecordOneCrash("cause", "d");
   AdvanceTime(ledger_.options.base_duration);
   EXPECT_TRUE(IsQuarantined("cause"));
@@ -174,10 +175,10 @@
   for (const fleet::request_warning& item : ListWarnings(ledger_)) {
     Adopt(next_leader, item, now_);
   }
-  EXPECT_EQ(StandingOf(next_leader, "cause", now_),
-            request_standing::kQuarantined);
-  EXPECT_EQ(StandingOf(next_leader, "suspect", now_),
-            request_standing::kSuspected);
+  EXPECT_EQ(QuarantineStateOf(next_leader, "cause", now_),
+            quarantine_state::kQuarantined);
+  EXPECT_EQ(QuarantineStateOf(next_leader, "suspect", now_),
+            quarantine_state::kSuspected);
   EXPECT_TRUE(NoteEnd(next_leader, {"cause", "customer", "a"}, now_).empty());
   EXPECT_EQ(ListWarnings(next_leader), ListWarnings(ledger_));
 }
@@ -253,7 +254,8 @@
   for (const char* end : {"x", "y", "z"}) {
     NoteEnd(ledger, {cause, "customer", end}, now);
   }
-  RC_ASSERT(StandingOf(ledger, cause, now) == request_standing::kQuarantined);
+  RC_ASSERT(QuarantineStateOf(ledger, cause, now) ==
+            quarantine_state::kQuarantined);
 }
 
 }  // namespace
--- a/tests/unit/quarantine/crash_watch_test.cc
+++ b/tests/unit/quarantine/crash_watch_test.cc
@@ -239,7 +239,7 @@
   is_leader_reachable_ = false;
   CrashEndpoints({"a", "b", "c"});
   ASSERT_TRUE(RunUntil([this] {
-    return watch_.Check(kRequest).state == request_standing::kQuarantined;
+    return watch_.Check(kRequest).state == quarantine_state::kQuarantined;
   }));
   EXPECT_TRUE(reports_.empty());
   is_leader_reachable_ = true;
@@ -257,15 +257,15 @@
   watch_.OnView();
   ASSERT_TRUE(RunUntil([this] { return reports_.size() == 4; }));
   EXPECT_EQ(reports_[3].incarnation, "b");
-  EXPECT_EQ(watch_.Check(kRequest).state, request_standing::kQuarantined);
+  EXPECT_EQ(watch_.Check(kRequest).state, quarantine_state::kQuarantined);
 }
 
 TEST_F(CrashWatchTest, ServedRequestIsClearedLocallyAndAtTheLeader) {
   CrashEndpoints({"a", "b"});
   ASSERT_TRUE(RunUntil([this] { return reports_.size() == 2; }));
-  ASSERT_EQ(watch_.Check(kRequest).state, request_standing::kSuspected);
+  ASSERT_EQ(watch_.Check(kRequest).state, quarantine_state::kSuspected);
   watch_.NoteServed(kRequest);
-  EXPECT_EQ(watch_.Check(kRequest).state, request_standing::kClear);
+  EXPECT_EQ(watch_.Check(kRequest).state, quarantine_state::kClear);
   ASSERT_TRUE(RunUntil([this] { return !served_.empty(); }));
   EXPECT_EQ(served_[0], watch_.DigestOf(kRequest));
 }
@@ -278,14 +278,14 @@
   warning.ends = {"a", "b"};
   view_.warnings = {warning};
   watch_.OnView();
-  EXPECT_EQ(watch_.Check(kRequest).state, request_standing::kSuspected);
+  EXPECT_EQ(watch_.Check(kRequest).state, quarantine_state::kSuspected);
   CrashEndpoints({"c"});
   EXPECT_TRUE(RunUntil([this] {
-    return watch_.Check(kRequest).state == request_standing::kQuarantined;
+    return watch_.Check(kRequest).state == quarantine_state::kQuarantined;
   }));
   view_.warnings.clear();
   watch_.OnView();
-  EXPECT_EQ(watch_.Check(kRequest).state, request_standing::kClear);
+  EXPECT_EQ(watch_.Check(kRequest).state, quarantine_state::kClear);
 }
 
 }  // namespace
