--- a/packages/entry/entry_instance.cc
+++ b/packages/entry/entry_instance.cc
@@ -13,7 +13,7 @@
 #include "net/listener.h"
 #include "peering/leader_caller.h"
 #include "peering/view_follower.h"
-#include "quarantine/crash_watch.h"
+#include "quarantine/crash_detector.h"
 
 namespace hickorywood::entry {
 namespace {
@@ -173,7 +173,7 @@
   net::connection_pool pool;
   peering::leader_caller caller;
   peering::view_follower follower;
-  quarantine::crash_watch crashes;
+  quarantine::crash_detector crashes;
   relay plain;
   peering::leader_caller stores_caller;
   step_gateway gateway;
--- a/packages/entry/relay.cc
+++ b/packages/entry/relay.cc
@@ -35,7 +35,7 @@
 
 relay::relay(asio::io_context& loop, const core::runtime_clock& clock,
              net::connection_pool& pool, const fleet::protocol& wire,
-             const fleet::view& view, quarantine::crash_watch& crashes,
+             const fleet::view& view, quarantine::crash_detector& crashes,
              std::string own_zone)
     : clock_(clock),
       pool_(pool),
@@ -108,7 +108,7 @@
 // abandoned: its caller has disconnected, or its deadline has passed.
 class relay::open_request {
  public:
-  open_request(quarantine::crash_watch& crashes,
+  open_request(quarantine::crash_detector& crashes,
                quarantine::request_identity input, fleet::endpoint target)
       : crashes_(crashes), input_(input), target_(std::move(target)) {}
   ~open_request() {
@@ -124,7 +124,7 @@
   }
 
  private:
-  quarantine::crash_watch& crashes_;
+  quarantine::crash_detector& crashes_;
   const quarantine::request_identity input_;
   const fleet::endpoint target_;
   bool is_settled_ = false;
--- a/packages/entry/relay.h
+++ b/packages/entry/relay.h
@@ -14,7 +14,7 @@
 #include "fleet/view.h"
 #include "net/connection_pool.h"
 #include "net/listener.h"
-#include "quarantine/crash_watch.h"
+#include "quarantine/crash_detector.h"
 #include "routing/request_sender.h"
 
 namespace hickorywood::entry {
@@ -23,7 +23,7 @@
  public:
   relay(boost::asio::io_context& loop, const core::runtime_clock& clock,
         net::connection_pool& pool, const fleet::protocol& wire,
-        const fleet::view& view, quarantine::crash_watch& crashes,
+        const fleet::view& view, quarantine::crash_detector& crashes,
         std::string own_zone);
 
   // Answers the exchange. The coroutine is cancelled when the caller
@@ -54,7 +54,7 @@
   net::connection_pool& pool_;
   const fleet::protocol& wire_;
   const fleet::view& view_;
-  quarantine::crash_watch& crashes_;
+  quarantine::crash_detector& crashes_;
   routing::request_sender sender_;
 };
 
--- a/packages/quarantine/crash_watch.cc
+++ b/packages/quarantine/crash_detector.cc
@@ -1,4 +1,4 @@
-#include "quarantine/crash_watch.h"
+#include "quarantine/crash_detector.h"
 
 #include <algorithm>
 #include <boost/asio/co_spawn.hpp>
@@ -61,36 +61,38 @@
 
 }  // namespace
 
-crash_watch::crash_watch(asio::io_context& loop,
-                         const core::runtime_clock& clock,
-                         net::connection_pool& pool, const fleet::view& view,
-                         update_sender send_update)
+crash_detector::crash_detector(asio::io_context& loop,
+                               const core::runtime_clock& clock,
+                               net::connection_pool& pool,
+                               const fleet::view& view,
+                               update_sender send_update)
     : loop_(loop),
       clock_(clock),
       pool_(pool),
       view_(view),
       send_update_(std::move(send_update)) {}
 
-void crash_watch::Start() {
+void crash_detector::Start() {
   asio::co_spawn(loop_, KeepTelling(), asio::detached);
   asio::co_spawn(loop_, KeepHouse(), asio::detached);
 }
 
-std::string crash_watch::DigestOf(const request_identity& input) const {
+std::string crash_detector::DigestOf(const request_identity& input) const {
   const std::string& key = view_.members.digest_key;
   return key.empty() ? "" : quarantine::DigestOf(key, input);
 }
 
-quarantine_decision crash_watch::Check(const request_identity& input) const {
+quarantine_decision crash_detector::Check(const request_identity& input) const {
   return quarantine::Check(ledger_, view_.members.digest_key, input,
                            clock_.Now());
 }
 
-quarantine_decision crash_watch::CheckDigest(const std::string& digest) const {
+quarantine_decision crash_detector::CheckDigest(
+    const std::string& digest) const {
   return quarantine::CheckDigest(ledger_, digest, clock_.Now());
 }
 
-void crash_watch::NoteServed(const request_identity& input) {
+void crash_detector::NoteServed(const request_identity& input) {
   if (!MayBeKnown(ledger_, view_.members.digest_key, input)) return;
   const std::string digest = DigestOf(input);
   if (!HasEnds(ledger_, digest)) return;
@@ -101,7 +103,7 @@
 
 // Whether an endpoint that is no longer listed was replaced by a later
 // incarnation.
-bool crash_watch::HasSuccessor(const fleet::endpoint& previous) const {
+bool crash_detector::HasSuccessor(const fleet::endpoint& previous) const {
   return FindEndpoint(view_, previous.incarnation) == nullptr &&
          std::any_of(view_.endpoints.begin(), view_.endpoints.end(),
                      [&previous](const fleet::endpoint& item) {
@@ -112,22 +114,22 @@
 
 // An endpoint that is draining or has left may terminate at any time; that is
 // not a crash.
-bool crash_watch::IsLeaving(const fleet::endpoint& target) const {
+bool crash_detector::IsLeaving(const fleet::endpoint& target) const {
   const fleet::endpoint* const listed = FindEndpoint(view_, target.incarnation);
   return listed == nullptr ? !HasSuccessor(target)
                            : listed->state == fleet::endpoint_state::kDraining;
 }
 
-void crash_watch::AddUnresponsive(const fleet::endpoint& target,
-                                  affected_request item) {
+void crash_detector::AddUnresponsive(const fleet::endpoint& target,
+                                     affected_request item) {
   unresponsive_endpoint& entry = unresponsive_[target.incarnation];
   entry.endpoint = target;
   if (entry.requests.size() >= kMostRequests) return;
   entry.requests.emplace_back(std::move(item), clock_.Now() + kRestartWindow);
 }
 
-void crash_watch::NoteGivenUp(const request_identity& input,
-                              const fleet::endpoint& target) {
+void crash_detector::NoteGivenUp(const request_identity& input,
+                                 const fleet::endpoint& target) {
   std::string digest = DigestOf(input);
   if (digest.empty() || IsLeaving(target)) return;
   RemoveExpiredEntries();
@@ -135,8 +137,8 @@
   if (HasSuccessor(target)) HandleCrash(target.incarnation);
 }
 
-void crash_watch::NoteBroken(const request_identity& input,
-                             const fleet::endpoint& target) {
+void crash_detector::NoteBroken(const request_identity& input,
+                                const fleet::endpoint& target) {
   const std::string digest = DigestOf(input);
   if (digest.empty() || IsLeaving(target)) return;
   RemoveExpiredEntries();
@@ -165,8 +167,8 @@
 // accepted may already be its successor. A connection that breaks there later
 // is probed again. If the endpoint does not respond, only a later incarnation
 // shows whether it crashed.
-awaitable<void> crash_watch::Probe(std::string incarnation,
-                                   std::string address) {
+awaitable<void> crash_detector::Probe(std::string incarnation,
+                                      std::string address) {
   bool is_unresponsive = false;
   for (int probe = 0; probe < kProbeCount; ++probe) {
     const net::connect_outcome outcome =
@@ -189,13 +191,13 @@
   disconnected_.erase(found);
 }
 
-size_t crash_watch::ProbesInProgress() const {
+size_t crash_detector::ProbesInProgress() const {
   return static_cast<size_t>(
       std::count_if(disconnected_.begin(), disconnected_.end(),
                     [](const auto& item) { return item.second.is_probing; }));
 }
 
-void crash_watch::RemoveExpiredEntries() {
+void crash_detector::RemoveExpiredEntries() {
   const time_point now = clock_.Now();
   std::erase_if(disconnected_, [now](const auto& item) {
     return !item.second.is_probing && now >= item.second.expires_at;
@@ -208,7 +210,7 @@
                 [](const auto& item) { return item.second.requests.empty(); });
 }
 
-void crash_watch::HandleCrash(const std::string& incarnation) {
+void crash_detector::HandleCrash(const std::string& incarnation) {
   std::vector<affected_request> requests;
   if (const auto found = disconnected_.find(incarnation);
       found != disconnected_.end()) {
@@ -234,7 +236,7 @@
   if (!requests.empty()) outbox_changed_.Notify();
 }
 
-void crash_watch::OnView() {
+void crash_detector::OnView() {
   RemoveExpiredEntries();
   std::vector<std::string> crashed;
   for (const auto& [incarnation, entry] : disconnected_) {
@@ -247,7 +249,7 @@
   MergeWarnings();
 }
 
-void crash_watch::MergeWarnings() {
+void crash_detector::MergeWarnings() {
   const bool is_new_term = view_.version.term != last_view_term_;
   last_view_term_ = view_.version.term;
   if (is_new_term) QueueMissingReports();
@@ -276,7 +278,7 @@
 
 // A new leader starts with the warnings that it received itself, which may be
 // none after a loss of all control instances.
-void crash_watch::QueueMissingReports() {
+void crash_detector::QueueMissingReports() {
   std::map<std::string_view, const fleet::request_warning*> listed_warnings;
   for (const fleet::request_warning& item : view_.warnings) {
     listed_warnings[item.digest] = &item;
@@ -304,7 +306,7 @@
   outbox_changed_.Notify();
 }
 
-awaitable<void> crash_watch::KeepTelling() {
+awaitable<void> crash_detector::KeepTelling() {
   for (;;) {
     const bool is_empty = outbox_.reports.empty() && outbox_.served.empty() &&
                           outbox_.forgiven.empty();
@@ -335,7 +337,7 @@
   }
 }
 
-awaitable<void> crash_watch::KeepHouse() {
+awaitable<void> crash_detector::KeepHouse() {
   for (;;) {
     co_await net::Sleep(kHousePeriod);
     Expire(ledger_, clock_.Now());
--- a/packages/quarantine/crash_watch.h
+++ b/packages/quarantine/crash_detector.h
@@ -1,5 +1,5 @@
-#ifndef HICKORYWOOD_QUARANTINE_CRASH_WATCH_H_
-#define HICKORYWOOD_QUARANTINE_CRASH_WATCH_H_
+#ifndef HICKORYWOOD_QUARANTINE_CRASH_DETECTOR_H_
+#define HICKORYWOOD_QUARANTINE_CRASH_DETECTOR_H_
 
 // Detects endpoints that crashed under this process's requests. It
 // distinguishes crashes from connections that merely broke, reports the
@@ -24,16 +24,16 @@
 
 namespace hickorywood::quarantine {
 
-class crash_watch {
+class crash_detector {
  public:
   // Sends an update to the control leader. False: the leader may not have
   // received it.
   using update_sender =
       std::function<boost::asio::awaitable<bool>(fleet::crash_update)>;
 
-  crash_watch(boost::asio::io_context& loop, const core::runtime_clock& clock,
-              net::connection_pool& pool, const fleet::view& view,
-              update_sender send_update);
+  crash_detector(boost::asio::io_context& loop,
+                 const core::runtime_clock& clock, net::connection_pool& pool,
+                 const fleet::view& view, update_sender send_update);
 
   void Start();
   // Called when the view has changed.
@@ -110,4 +110,4 @@
 
 }  // namespace hickorywood::quarantine
 
-#endif  // HICKORYWOOD_QUARANTINE_CRASH_WATCH_H_
+#endif  // HICKORYWOOD_QUARANTINE_CRASH_DETECTOR_H_
--- a/packages/routing/request_sender.cc
+++ b/packages/routing/request_sender.cc
@@ -92,7 +92,7 @@
                                net::connection_pool& pool,
                                const fleet::protocol& wire,
                                const fleet::view& view,
-                               quarantine::crash_watch& crashes,
+                               quarantine::crash_detector& crashes,
                                std::string own_zone)
     : loop_(loop),
       clock_(clock),
--- a/packages/routing/request_sender.h
+++ b/packages/routing/request_sender.h
@@ -21,7 +21,7 @@
 #include "fleet/view.h"
 #include "net/connection_pool.h"
 #include "net/message.h"
-#include "quarantine/crash_watch.h"
+#include "quarantine/crash_detector.h"
 #include "routing/endpoint_choice.h"
 
 namespace hickorywood::routing {
@@ -62,7 +62,7 @@
   request_sender(boost::asio::io_context& loop,
                  const core::runtime_clock& clock, net::connection_pool& pool,
                  const fleet::protocol& wire, const fleet::view& view,
-                 quarantine::crash_watch& crashes, std::string own_zone);
+                 quarantine::crash_detector& crashes, std::string own_zone);
 
   // Cancelling the coroutine cancels the running attempts and closes their
   // connections.
@@ -99,7 +99,7 @@
   net::connection_pool& pool_;
   const fleet::protocol& wire_;
   const fleet::view& view_;
-  quarantine::crash_watch& crashes_;
+  quarantine::crash_detector& crashes_;
   const std::string own_zone_;
   endpoint_book book_;
   std::map<std::string, std::string> addresses_;  // by incarnation
--- a/packages/store/dispatcher.cc
+++ b/packages/store/dispatcher.cc
@@ -36,7 +36,7 @@
                        group::group_host& group, const step_state& state,
                        net::connection_pool& pool,
                        routing::request_sender& sender,
-                       quarantine::crash_watch& crashes,
+                       quarantine::crash_detector& crashes,
                        const fleet::protocol& wire, const fleet::view& view)
     : loop_(loop),
       clock_(clock),
--- a/packages/store/dispatcher.h
+++ b/packages/store/dispatcher.h
@@ -28,7 +28,7 @@
 #include "net/event.h"
 #include "net/spawn.h"
 #include "peering/messages.h"
-#include "quarantine/crash_watch.h"
+#include "quarantine/crash_detector.h"
 #include "steps/event_gap.h"
 #include "steps/event_text.h"
 #include "steps/pacing.h"
@@ -47,7 +47,7 @@
   dispatcher(boost::asio::io_context& loop, const core::runtime_clock& clock,
              group::group_host& group, const step_state& state,
              net::connection_pool& pool, routing::request_sender& sender,
-             quarantine::crash_watch& crashes, const fleet::protocol& wire,
+             quarantine::crash_detector& crashes, const fleet::protocol& wire,
              const fleet::view& view);
 
   void Start();
@@ -214,7 +214,7 @@
   group::group_host& group_;
   const step_state& state_;
   net::connection_pool& pool_;
-  quarantine::crash_watch& crashes_;
+  quarantine::crash_detector& crashes_;
   const fleet::protocol& wire_;
   const fleet::view& view_;
   bool is_leading_ = false;
--- a/packages/store/store_instance.cc
+++ b/packages/store/store_instance.cc
@@ -13,7 +13,7 @@
 #include "peering/leader_caller.h"
 #include "peering/peer_interface.h"
 #include "peering/view_follower.h"
-#include "quarantine/crash_watch.h"
+#include "quarantine/crash_detector.h"
 #include "store/dispatcher.h"
 #include "store/remote_runner.h"
 #include "store/step_service.h"
@@ -166,7 +166,7 @@
   peering::leader_caller caller;
   peering::view_follower follower;
   step_service service;
-  quarantine::crash_watch crashes;
+  quarantine::crash_detector crashes;
   routing::request_sender sender;
   dispatcher dispatch;
   peering::leader_caller leader;  // calls the leader of the data group
--- a/tests/unit/entry/relay_test.cc
+++ b/tests/unit/entry/relay_test.cc
@@ -89,7 +89,7 @@
   const std::unique_ptr<fleet::protocol> wire_ = platform::MakeProtocol();
   fleet::view view_;
   fleet::route route_;
-  quarantine::crash_watch crashes_;
+  quarantine::crash_detector crashes_;
   relay relay_;
   net::listener listener_;
 };
--- a/tests/unit/quarantine/crash_watch_test.cc
+++ b/tests/unit/quarantine/crash_detector_test.cc
@@ -1,6 +1,6 @@
 // Which events count as a crash of an endpoint, tested over real sockets.
 
-#include "quarantine/crash_watch.h"
+#include "quarantine/crash_detector.h"
 
 #include <gtest/gtest.h>
 #include <netinet/in.h>
@@ -28,9 +28,9 @@
 constexpr char kCustomer[] = "camera.example";
 const request_identity kRequest{kCustomer, "POST", "/clips/7", "clip"};
 
-class CrashWatchTest : public ::testing::Test {
+class CrashDetectorTest : public ::testing::Test {
  protected:
-  CrashWatchTest() {
+  CrashDetectorTest() {
     view_.version = {1, 1};
     view_.members.digest_key = "key";
     watch_.Start();
@@ -89,13 +89,13 @@
   std::vector<fleet::crash_report> reports_;  // received by the leader
   std::vector<std::string> served_;
   std::vector<std::unique_ptr<net::listener>> listeners_;
-  crash_watch watch_{loop_, clock_, pool_, view_,
-                     [this](fleet::crash_update update) {
-                       return ReceiveUpdate(std::move(update));
-                     }};
+  crash_detector watch_{loop_, clock_, pool_, view_,
+                        [this](fleet::crash_update update) {
+                          return ReceiveUpdate(std::move(update));
+                        }};
 };
 
-TEST_F(CrashWatchTest, RefusedConnectionIsACrash) {
+TEST_F(CrashDetectorTest, RefusedConnectionIsACrash) {
   CrashEndpoints({"a"});
   ASSERT_TRUE(RunUntil([this] { return !reports_.empty(); }));
   EXPECT_EQ(reports_[0].digest, watch_.DigestOf(kRequest));
@@ -106,7 +106,7 @@
 // Reset connections fail their requests while the endpoint keeps running. An
 // endpoint that has really crashed follows, so that both have been processed
 // when its report arrives.
-TEST_F(CrashWatchTest, EndpointThatAcceptsConnectionsHasNotCrashed) {
+TEST_F(CrashDetectorTest, EndpointThatAcceptsConnectionsHasNotCrashed) {
   watch_.NoteBroken(kRequest, List("sound", true));
   CrashEndpoints({"ended"});
   ASSERT_TRUE(RunUntil([this] { return !reports_.empty(); }));
@@ -117,7 +117,7 @@
 // Connections are reset, and right after that the endpoint crashes under
 // another request. Only the later request was running there, so only it is
 // reported.
-TEST_F(CrashWatchTest, CrashAfterAResetReportsOnlyTheLaterRequest) {
+TEST_F(CrashDetectorTest, CrashAfterAResetReportsOnlyTheLaterRequest) {
   const fleet::endpoint target = List("a", true);
   watch_.NoteBroken(kRequest, target);
   const request_identity later{kCustomer, "POST", "/clips/8", "clip"};
@@ -131,7 +131,7 @@
 }
 
 // An endpoint restarts so quickly that a probe reaches its successor.
-TEST_F(CrashWatchTest, EndpointWithASuccessorHasCrashed) {
+TEST_F(CrashDetectorTest, EndpointWithASuccessorHasCrashed) {
   const fleet::endpoint previous = List("a", true);
   watch_.NoteBroken(kRequest, previous);
   view_.endpoints[0].incarnation = "b";
@@ -181,7 +181,7 @@
 
 // Guards against a request that crashes endpoints without limit when these lose
 // power: their addresses do not respond until the restart some seconds later.
-TEST_F(CrashWatchTest, UnresponsiveEndpointThatRestartsHasCrashed) {
+TEST_F(CrashDetectorTest, UnresponsiveEndpointThatRestartsHasCrashed) {
   const unresponsive_address address;
   fleet::endpoint target = List("a", false);
   target.address = address.Text();
@@ -200,7 +200,7 @@
 // Guards against missing the requests whose callers disconnect, or whose
 // deadline passes, before the crash is detected; and against attributing a
 // crash to requests that ended long before.
-TEST_F(CrashWatchTest, AbandonedRequestIsReportedWithinTheRestartWindow) {
+TEST_F(CrashDetectorTest, AbandonedRequestIsReportedWithinTheRestartWindow) {
   clock_.Pause();
   const fleet::endpoint target = List("a", true);
   const request_identity early{kCustomer, "POST", "/clips/8", "clip"};
@@ -220,7 +220,7 @@
 
 // A planned shutdown aborts the requests that the endpoint did not finish. That
 // is attributed to none of them.
-TEST_F(CrashWatchTest, DrainingOrDepartedEndpointIsNotACrash) {
+TEST_F(CrashDetectorTest, DrainingOrDepartedEndpointIsNotACrash) {
   const fleet::endpoint draining = List("draining", false);
   view_.endpoints[0].state = fleet::endpoint_state::kDraining;
   watch_.NoteBroken(kRequest, draining);
@@ -235,7 +235,7 @@
 
 // Without a leader an instance quarantines by its own observations, and reports
 // them as soon as there is a leader.
-TEST_F(CrashWatchTest, QuarantinesWithoutALeader) {
+TEST_F(CrashDetectorTest, QuarantinesWithoutALeader) {
   is_leader_reachable_ = false;
   CrashEndpoints({"a", "b", "c"});
   ASSERT_TRUE(RunUntil([this] {
@@ -246,7 +246,7 @@
   EXPECT_TRUE(RunUntil([this] { return reports_.size() == 3; }));
 }
 
-TEST_F(CrashWatchTest, NewLeaderReceivesMissingReports) {
+TEST_F(CrashDetectorTest, NewLeaderReceivesMissingReports) {
   CrashEndpoints({"a", "b", "c"});
   ASSERT_TRUE(RunUntil([this] { return reports_.size() == 3; }));
   fleet::request_warning warning;
@@ -260,7 +260,7 @@
   EXPECT_EQ(watch_.Check(kRequest).state, quarantine_state::kQuarantined);
 }
 
-TEST_F(CrashWatchTest, ServedRequestIsClearedLocallyAndAtTheLeader) {
+TEST_F(CrashDetectorTest, ServedRequestIsClearedLocallyAndAtTheLeader) {
   CrashEndpoints({"a", "b"});
   ASSERT_TRUE(RunUntil([this] { return reports_.size() == 2; }));
   ASSERT_EQ(watch_.Check(kRequest).state, quarantine_state::kSuspected);
@@ -272,7 +272,7 @@
 
 // Crashes that other instances reported count together with those of this one.
 // A release by an operator arrives as a warning that is no longer listed.
-TEST_F(CrashWatchTest, AppliesTheWarningsOfTheLeader) {
+TEST_F(CrashDetectorTest, AppliesTheWarningsOfTheLeader) {
   fleet::request_warning warning;
   warning.digest = watch_.DigestOf(kRequest);
   warning.ends = {"a", "b"};
--- a/tests/unit/store/reward_caller_test.cc
+++ b/tests/unit/store/reward_caller_test.cc
@@ -112,7 +112,7 @@
   net::connection_pool pool_{loop_};
   const std::unique_ptr<fleet::protocol> wire_ = platform::MakeProtocol();
   fleet::view view_;
-  quarantine::crash_watch crashes_{
+  quarantine::crash_detector crashes_{
       loop_, clock_, pool_, view_,
       [](fleet::crash_update) -> boost::asio::awaitable<bool> {
         co_return true;
