--- a/packages/entry/relay.cc
+++ b/packages/entry/relay.cc
@@ -112,7 +112,7 @@
                quarantine::request_identity input, fleet::endpoint target)
       : crashes_(crashes), input_(input), target_(std::move(target)) {}
   ~open_request() {
-    if (!is_settled_) crashes_.NoteGivenUp(input_, target_);
+    if (!is_settled_) crashes_.RecordAbandoned(input_, target_);
   }
   open_request(const open_request&) = delete;
   open_request& operator=(const open_request&) = delete;
@@ -120,7 +120,7 @@
   void Settle() { is_settled_ = true; }
   void SettleBroken() {
     is_settled_ = true;
-    crashes_.NoteBroken(input_, target_);
+    crashes_.RecordBrokenConnection(input_, target_);
   }
 
  private:
@@ -245,7 +245,7 @@
     }
     if (state == net::body_state::kEnd) {
       open.Settle();
-      crashes_.NoteServed(identity);
+      crashes_.RecordServed(identity);
       co_await call.EndStream();
       pool_.Release(std::move(stream.from));
     }
--- a/packages/hickoryd/call_quarantine.cc
+++ b/packages/hickoryd/call_quarantine.cc
@@ -126,8 +126,9 @@
   return crashes;
 }
 
-void call_quarantine::NoteBroken(const quarantine::request_identity& input,
-                                 const membership::announcement& target) {
+void call_quarantine::RecordBrokenConnection(
+    const quarantine::request_identity& input,
+    const membership::announcement& target) {
   const fleet::crash_report suspected_request{quarantine::DigestOf(key_, input),
                                               std::string(input.customer),
                                               IncarnationOf(target)};
@@ -138,8 +139,8 @@
   QueueForAll(news);
 }
 
-void call_quarantine::NoteSilent(const quarantine::request_identity& input,
-                                 const membership::announcement& target) {
+void call_quarantine::RecordAbandoned(const quarantine::request_identity& input,
+                                      const membership::announcement& target) {
   Watch({quarantine::DigestOf(key_, input), std::string(input.customer),
          IncarnationOf(target)},
         target);
@@ -259,7 +260,7 @@
   QueueForAll(news);
 }
 
-void call_quarantine::NoteServed(const quarantine::request_identity& input) {
+void call_quarantine::RecordServed(const quarantine::request_identity& input) {
   const bool may_have_crashes =
       !unconfirmed_.empty() || quarantine::MayBeKnown(ledger_, key_, input);
   if (!may_have_crashes) return;
--- a/packages/hickoryd/call_quarantine.h
+++ b/packages/hickoryd/call_quarantine.h
@@ -58,14 +58,14 @@
   // The connection to `target` broke before the response to a request was
   // complete. It counts as a crash until the crash is confirmed or
   // `kConfirmationTime` has passed.
-  void NoteBroken(const quarantine::request_identity& input,
-                  const membership::announcement& target);
+  void RecordBrokenConnection(const quarantine::request_identity& input,
+                              const membership::announcement& target);
   // The request timed out, so no response from `target` is expected any more. A
   // crash that is detected soon afterwards is attributed to the request.
-  void NoteSilent(const quarantine::request_identity& input,
-                  const membership::announcement& target);
+  void RecordAbandoned(const quarantine::request_identity& input,
+                       const membership::announcement& target);
   // An endpoint answered the request and did not crash.
-  void NoteServed(const quarantine::request_identity& input);
+  void RecordServed(const quarantine::request_identity& input);
 
   // Applies the update of another instance.
   quarantine_list ApplyUpdate(const quarantine_news& input);
--- a/packages/hickoryd/call_service.cc
+++ b/packages/hickoryd/call_service.cc
@@ -340,9 +340,9 @@
   }
   if (response.how != delivery::kNotSent) call->was_maybe_sent = true;
   if (response.how == delivery::kMaybeSent && response.is_timeout) {
-    quarantine_.NoteSilent(IdentityOf(call->call), call->endpoint);
+    quarantine_.RecordAbandoned(IdentityOf(call->call), call->endpoint);
   } else if (response.how == delivery::kMaybeSent) {
-    quarantine_.NoteBroken(IdentityOf(call->call), call->endpoint);
+    quarantine_.RecordBrokenConnection(IdentityOf(call->call), call->endpoint);
   }
   if (response.how != delivery::kAnswered) {
     HandleFailure(call, response, response.error);
@@ -359,7 +359,7 @@
     HandleFailure(call, response, "status " + std::to_string(response.status));
     return;
   }
-  quarantine_.NoteServed(IdentityOf(call->call));
+  quarantine_.RecordServed(IdentityOf(call->call));
   routing::NoteSuccess(stats_[call->endpoint.id], 0, milliseconds(0));
   routing::NoteSuccess(budgets_[call->call.service]);
   service_answer answer;
--- a/packages/hickoryd/generation_attempt.cc
+++ b/packages/hickoryd/generation_attempt.cc
@@ -109,13 +109,13 @@
   }
   if (response.how != delivery::kNotSent) item->was_maybe_sent = true;
   if (response.how == delivery::kMaybeSent) {
-    quarantine_.NoteBroken(IdentityOf(*item), item->announced);
+    quarantine_.RecordBrokenConnection(IdentityOf(*item), item->announced);
   }
   const bool is_whole = response.how == delivery::kAnswered &&
                         response.status == 200 && item->has_end_mark &&
                         !item->finish_reason.empty();
   if (is_whole) {
-    quarantine_.NoteServed(IdentityOf(*item));
+    quarantine_.RecordServed(IdentityOf(*item));
     Complete(*item);
     return;
   }
--- a/packages/quarantine/crash_detector.cc
+++ b/packages/quarantine/crash_detector.cc
@@ -92,7 +92,7 @@
   return quarantine::CheckDigest(ledger_, digest, clock_.Now());
 }
 
-void crash_detector::NoteServed(const request_identity& input) {
+void crash_detector::RecordServed(const request_identity& input) {
   if (!MayBeKnown(ledger_, view_.members.digest_key, input)) return;
   const std::string digest = DigestOf(input);
   if (!HasEnds(ledger_, digest)) return;
@@ -128,8 +128,8 @@
   entry.requests.emplace_back(std::move(item), clock_.Now() + kRestartWindow);
 }
 
-void crash_detector::NoteGivenUp(const request_identity& input,
-                                 const fleet::endpoint& target) {
+void crash_detector::RecordAbandoned(const request_identity& input,
+                                     const fleet::endpoint& target) {
   std::string digest = DigestOf(input);
   if (digest.empty() || IsLeaving(target)) return;
   RemoveExpiredEntries();
@@ -137,8 +137,8 @@
   if (HasSuccessor(target)) HandleCrash(target.incarnation);
 }
 
-void crash_detector::NoteBroken(const request_identity& input,
-                                const fleet::endpoint& target) {
+void crash_detector::RecordBrokenConnection(const request_identity& input,
+                                            const fleet::endpoint& target) {
   const std::string digest = DigestOf(input);
   if (digest.empty() || IsLeaving(target)) return;
   RemoveExpiredEntries();
--- a/packages/quarantine/crash_detector.h
+++ b/packages/quarantine/crash_detector.h
@@ -42,14 +42,15 @@
   // The connection to `target` broke before the response to the request was
   // complete. Not to be called for a timeout: an endpoint that does not respond
   // may still be working.
-  void NoteBroken(const request_identity& input, const fleet::endpoint& target);
+  void RecordBrokenConnection(const request_identity& input,
+                              const fleet::endpoint& target);
   // The process no longer waits for the response of `target`: the caller
   // disconnected or the deadline passed. A crash of the endpoint that is
   // detected soon after is attributed to the request.
-  void NoteGivenUp(const request_identity& input,
-                   const fleet::endpoint& target);
+  void RecordAbandoned(const request_identity& input,
+                       const fleet::endpoint& target);
   // An endpoint responded to the request and kept running.
-  void NoteServed(const request_identity& input);
+  void RecordServed(const request_identity& input);
 
   // Number of endpoints that are being probed.
   size_t ProbesInProgress() const;
--- a/packages/routing/request_sender.cc
+++ b/packages/routing/request_sender.cc
@@ -259,9 +259,9 @@
         cancellation.cancelled() != asio::cancellation_type::none;
     const bool is_abandoned = call.is_timeout || is_cancelled;
     if (result.may_have_run && !is_abandoned) {
-      crashes_.NoteBroken(quarantine::IdentityOf(output), target);
+      crashes_.RecordBrokenConnection(quarantine::IdentityOf(output), target);
     } else if (result.may_have_run && !state->best) {
-      crashes_.NoteGivenUp(quarantine::IdentityOf(output), target);
+      crashes_.RecordAbandoned(quarantine::IdentityOf(output), target);
     }
   }
   if (!result.is_usable) {
@@ -289,7 +289,7 @@
       ++state.refusals;
     }
     if (!result.is_usable) continue;
-    crashes_.NoteServed(identity);
+    crashes_.RecordServed(identity);
     if (result.answer.status == 500) ++state.failed_answers;
     // An answer with a 5xx status is used only when no better answer arrives.
     const bool is_better = !state.best || result.answer.status < 500;
--- a/packages/store/dispatcher.h
+++ b/packages/store/dispatcher.h
@@ -183,8 +183,8 @@
   void HandleUnreachableRunners();
   void EndRun(const std::shared_ptr<run>& ended, run_end how);
   void RecordEngineOutcome(const std::string& incarnation, run_end how);
-  void NoteBroken(const run& ended);
-  void NoteServed(const task_key& key);
+  void RecordBrokenConnection(const run& ended);
+  void RecordServed(const task_key& key);
   // Whether the request of the task is quarantined because engines crashed
   // while they ran it. Such a task must wait.
   bool MustWaitForQuarantine(const task_key& key, tracked_task& task);
--- a/packages/store/dispatcher_runs.cc
+++ b/packages/store/dispatcher_runs.cc
@@ -262,7 +262,7 @@
   const bool is_answered = how == run_end::kComplete ||
                            how == run_end::kFailed ||
                            how == run_end::kImpossible;
-  if (is_answered) NoteServed(ended->key);
+  if (is_answered) RecordServed(ended->key);
   switch (how) {
     case run_end::kComplete:
       if (ended->events_at_start == 0) {
@@ -295,7 +295,7 @@
     case run_end::kBroken:
       // Recorded also if the run added text, because each later run of the
       // request may add text too before it crashes its engine.
-      NoteBroken(*ended);
+      RecordBrokenConnection(*ended);
       break;
     case run_end::kMoved:
       break;
@@ -334,14 +334,14 @@
   return task.is_waiting_for_quarantine;
 }
 
-void dispatcher::NoteServed(const task_key& key) {
+void dispatcher::RecordServed(const task_key& key) {
   const auto identity = IdentityOf(key);
-  if (identity) crashes_.NoteServed(*identity);
+  if (identity) crashes_.RecordServed(*identity);
 }
 
-void dispatcher::NoteBroken(const run& ended) {
+void dispatcher::RecordBrokenConnection(const run& ended) {
   const auto identity = IdentityOf(ended.key);
-  if (identity) crashes_.NoteBroken(*identity, ended.engine);
+  if (identity) crashes_.RecordBrokenConnection(*identity, ended.engine);
 }
 
 void dispatcher::RecordEngineOutcome(const std::string& incarnation,
--- a/tests/unit/quarantine/crash_detector_test.cc
+++ b/tests/unit/quarantine/crash_detector_test.cc
@@ -67,7 +67,7 @@
 
   void CrashEndpoints(const std::vector<std::string>& names) {
     for (const std::string& name : names) {
-      watch_.NoteBroken(kRequest, List(name, false));
+      watch_.RecordBrokenConnection(kRequest, List(name, false));
     }
   }
 
@@ -107,7 +107,7 @@
 // endpoint that has really crashed follows, so that both have been processed
 // when its report arrives.
 TEST_F(CrashDetectorTest, EndpointThatAcceptsConnectionsHasNotCrashed) {
-  watch_.NoteBroken(kRequest, List("sound", true));
+  watch_.RecordBrokenConnection(kRequest, List("sound", true));
   CrashEndpoints({"ended"});
   ASSERT_TRUE(RunUntil([this] { return !reports_.empty(); }));
   ASSERT_EQ(reports_.size(), 1U);
@@ -119,12 +119,12 @@
 // reported.
 TEST_F(CrashDetectorTest, CrashAfterAResetReportsOnlyTheLaterRequest) {
   const fleet::endpoint target = List("a", true);
-  watch_.NoteBroken(kRequest, target);
+  watch_.RecordBrokenConnection(kRequest, target);
   const request_identity later{kCustomer, "POST", "/clips/8", "clip"};
   const std::string digest = watch_.DigestOf(later);
   ASSERT_TRUE(RunUntil([this] { return watch_.ProbesInProgress() == 0; }));
   listeners_.clear();
-  watch_.NoteBroken(later, target);
+  watch_.RecordBrokenConnection(later, target);
   ASSERT_TRUE(RunUntil([this] { return !reports_.empty(); }));
   ASSERT_EQ(reports_.size(), 1U);
   EXPECT_EQ(reports_[0].digest, digest);
@@ -133,7 +133,7 @@
 // An endpoint restarts so quickly that a probe reaches its successor.
 TEST_F(CrashDetectorTest, EndpointWithASuccessorHasCrashed) {
   const fleet::endpoint previous = List("a", true);
-  watch_.NoteBroken(kRequest, previous);
+  watch_.RecordBrokenConnection(kRequest, previous);
   view_.endpoints[0].incarnation = "b";
   view_.endpoints[0].name = "b";
   watch_.OnView();
@@ -186,7 +186,7 @@
   fleet::endpoint target = List("a", false);
   target.address = address.Text();
   view_.endpoints[0].address = address.Text();
-  watch_.NoteBroken(kRequest, target);
+  watch_.RecordBrokenConnection(kRequest, target);
   ASSERT_TRUE(RunUntil([this] { return watch_.ProbesInProgress() == 0; }));
   clock_.Pause();
   clock_.Advance(milliseconds(6000));
@@ -204,9 +204,9 @@
   clock_.Pause();
   const fleet::endpoint target = List("a", true);
   const request_identity early{kCustomer, "POST", "/clips/8", "clip"};
-  watch_.NoteGivenUp(early, target);
+  watch_.RecordAbandoned(early, target);
   clock_.Advance(milliseconds(8000));
-  watch_.NoteGivenUp(kRequest, target);
+  watch_.RecordAbandoned(kRequest, target);
   clock_.Advance(milliseconds(4000));
   watch_.OnView();
   EXPECT_EQ(watch_.ProbesInProgress(), 0U);
@@ -223,10 +223,10 @@
 TEST_F(CrashDetectorTest, DrainingOrDepartedEndpointIsNotACrash) {
   const fleet::endpoint draining = List("draining", false);
   view_.endpoints[0].state = fleet::endpoint_state::kDraining;
-  watch_.NoteBroken(kRequest, draining);
+  watch_.RecordBrokenConnection(kRequest, draining);
   const fleet::endpoint left = List("left", false);
   view_.endpoints.pop_back();
-  watch_.NoteBroken(kRequest, left);
+  watch_.RecordBrokenConnection(kRequest, left);
   CrashEndpoints({"ended"});
   ASSERT_TRUE(RunUntil([this] { return !reports_.empty(); }));
   ASSERT_EQ(reports_.size(), 1U);
@@ -264,7 +264,7 @@
   CrashEndpoints({"a", "b"});
   ASSERT_TRUE(RunUntil([this] { return reports_.size() == 2; }));
   ASSERT_EQ(watch_.Check(kRequest).state, quarantine_state::kSuspected);
-  watch_.NoteServed(kRequest);
+  watch_.RecordServed(kRequest);
   EXPECT_EQ(watch_.Check(kRequest).state, quarantine_state::kClear);
   ASSERT_TRUE(RunUntil([this] { return !served_.empty(); }));
   EXPECT_EQ(served_[0], watch_.DigestOf(kRequest));
