--- a/bench/bench_quarantine.cc
+++ b/bench/bench_quarantine.cc
@@ -73,8 +73,8 @@
     for (int end = 0; end < kCrashes; ++end) {
       const std::string incarnation =
           "i-" + std::to_string(i) + "-" + std::to_string(end);
-      quarantine::NoteEnd(ledger, {digests[i], "hostile.example", incarnation},
-                          now);
+      quarantine::RecordCrash(
+          ledger, {digests[i], "hostile.example", incarnation}, now);
     }
   }
   out.Add("quarantine_end", MicrosEach(start, kRequests * kCrashes),
--- a/packages/controller/leader_service.cc
+++ b/packages/controller/leader_service.cc
@@ -400,7 +400,7 @@
   if (!input) co_return Malformed();
   const time_point now = clock_.Now();
   for (const fleet::crash_report& report : input->reports) {
-    NoteQuarantines(quarantine::NoteEnd(crashes_, report, now));
+    NoteQuarantines(quarantine::RecordCrash(crashes_, report, now));
   }
   for (const fleet::cleared_crashes& item : input->forgiven) {
     NoteQuarantines(quarantine::Forgive(crashes_, item, now));
--- a/packages/hickoryd/call_quarantine.cc
+++ b/packages/hickoryd/call_quarantine.cc
@@ -254,8 +254,8 @@
              {{"digest", report.digest},
               {"customer", report.customer},
               {"endpoint", incarnation}});
-    quarantine::LogChanges(
-        ledger_, quarantine::NoteEnd(ledger_, report, context_.clock.Now()));
+    quarantine::LogChanges(ledger_, quarantine::RecordCrash(
+                                        ledger_, report, context_.clock.Now()));
   }
   QueueForAll(news);
 }
@@ -337,7 +337,7 @@
     for (const std::string& crash : item.ends) {
       const fleet::crash_report report{item.digest, item.customer, crash};
       quarantine::LogChanges(ledger_,
-                             quarantine::NoteEnd(ledger_, report, now));
+                             quarantine::RecordCrash(ledger_, report, now));
     }
   }
   SendUpdate(peer);
@@ -346,7 +346,8 @@
 quarantine_list call_quarantine::ApplyUpdate(const quarantine_news& input) {
   const core::time_point now = context_.clock.Now();
   for (const fleet::crash_report& report : input.seen.reports) {
-    quarantine::LogChanges(ledger_, quarantine::NoteEnd(ledger_, report, now));
+    quarantine::LogChanges(ledger_,
+                           quarantine::RecordCrash(ledger_, report, now));
   }
   for (const fleet::crash_report& report : input.doubts) AddUnconfirmed(report);
   for (const std::string& digest : input.seen.served) ApplyServed(digest);
--- a/packages/quarantine/crash_detector.cc
+++ b/packages/quarantine/crash_detector.cc
@@ -230,7 +230,7 @@
                                                     {"customer", item.customer},
                                                     {"endpoint", incarnation}});
     const fleet::crash_report report{item.digest, item.customer, incarnation};
-    NoteEnd(ledger_, report, now);
+    RecordCrash(ledger_, report, now);
     outbox_.reports.push_back(report);
   }
   if (!requests.empty()) outbox_changed_.Notify();
--- a/packages/quarantine/crash_ledger.cc
+++ b/packages/quarantine/crash_ledger.cc
@@ -187,9 +187,9 @@
   return "";
 }
 
-std::vector<quarantine_change> NoteEnd(crash_ledger& ledger,
-                                       const fleet::crash_report& report,
-                                       time_point now) {
+std::vector<quarantine_change> RecordCrash(crash_ledger& ledger,
+                                           const fleet::crash_report& report,
+                                           time_point now) {
   std::vector<quarantine_change> changes;
   const auto existing = ledger.suspects.find(report.digest);
   if (existing != ledger.suspects.end()) {
--- a/packages/quarantine/crash_ledger.h
+++ b/packages/quarantine/crash_ledger.h
@@ -95,9 +95,9 @@
 
 // Records that an endpoint crashed under a request. A report that was recorded
 // before changes nothing.
-std::vector<quarantine_change> NoteEnd(crash_ledger& ledger,
-                                       const fleet::crash_report& report,
-                                       core::time_point now);
+std::vector<quarantine_change> RecordCrash(crash_ledger& ledger,
+                                           const fleet::crash_report& report,
+                                           core::time_point now);
 
 // Clears all crashes of a request. Later reports of the same crashes don't
 // count.
--- a/tests/unit/quarantine/crash_ledger_test.cc
+++ b/tests/unit/quarantine/crash_ledger_test.cc
@@ -15,7 +15,7 @@
  protected:
   std::vector<quarantine_change> RecordOneCrash(
       const std::string& digest, const std::string& incarnation) {
-    return NoteEnd(ledger_, {digest, "customer", incarnation}, now_);
+    return RecordCrash(ledger_, {digest, "customer", incarnation}, now_);
   }
 
   void RecordCrashes(const std::string& digest,
@@ -63,7 +63,7 @@
     crash_ledger next;
     for (const auto& item : ListWarnings(ledger_)) Adopt(next, item, now_);
     for (const char* end : {"a", "b", "c"}) {
-      NoteEnd(next, {"cause", "customer", end}, now_);
+      RecordCrash(next, {"cause", "customer", end}, now_);
     }
     EXPECT_EQ(QuarantineStateOf(next, "cause", now_), quarantine_state::kClear);
   }
@@ -79,7 +79,7 @@
   EXPECT_EQ(QuarantineStateOf(other, "cause", now_), quarantine_state::kClear);
   // Later crashes count.
   for (const char* end : {"d", "e", "f"}) {
-    NoteEnd(other, {"cause", "customer", end}, now_);
+    RecordCrash(other, {"cause", "customer", end}, now_);
   }
   EXPECT_EQ(QuarantineStateOf(other, "cause", now_),
             quarantine_state::kQuarantined);
@@ -179,7 +179,8 @@
             quarantine_state::kQuarantined);
   EXPECT_EQ(QuarantineStateOf(next_leader, "suspect", now_),
             quarantine_state::kSuspected);
-  EXPECT_TRUE(NoteEnd(next_leader, {"cause", "customer", "a"}, now_).empty());
+  EXPECT_TRUE(
+      RecordCrash(next_leader, {"cause", "customer", "a"}, now_).empty());
   EXPECT_EQ(ListWarnings(next_leader), ListWarnings(ledger_));
 }
 
@@ -199,10 +200,10 @@
 TEST_F(CrashLedgerTest, HostileCustomerEvictsOnlyItsOwnRequests) {
   constexpr int kRequestCount = 100000;
   ledger_.options.max_requests = 256;
-  NoteEnd(ledger_, {"known", "other", "a"}, now_);
-  NoteEnd(ledger_, {"known", "other", "b"}, now_);
-  NoteEnd(ledger_, {"known", "other", "c"}, now_);
-  NoteEnd(ledger_, {"single", "other", "d"}, now_);
+  RecordCrash(ledger_, {"known", "other", "a"}, now_);
+  RecordCrash(ledger_, {"known", "other", "b"}, now_);
+  RecordCrash(ledger_, {"known", "other", "c"}, now_);
+  RecordCrash(ledger_, {"single", "other", "d"}, now_);
   for (int i = 0; i < kRequestCount; ++i) {
     RecordOneCrash("hostile-" + std::to_string(i), "e" + std::to_string(i));
     ASSERT_LE(ledger_.suspects.size(), ledger_.options.max_requests);
@@ -232,7 +233,7 @@
         Expire(ledger, now);
         break;
       default:
-        NoteEnd(ledger, {digest, "c" + digest, end}, now);
+        RecordCrash(ledger, {digest, "c" + digest, end}, now);
         break;
     }
     RC_ASSERT(ledger.suspects.size() <= ledger.options.max_requests);
@@ -252,7 +253,7 @@
   }
   const std::string cause = "cause";
   for (const char* end : {"x", "y", "z"}) {
-    NoteEnd(ledger, {cause, "customer", end}, now);
+    RecordCrash(ledger, {cause, "customer", end}, now);
   }
   RC_ASSERT(QuarantineStateOf(ledger, cause, now) ==
             quarantine_state::kQuarantined);
