--- a/packages/controller/leader_service.cc
+++ b/packages/controller/leader_service.cc
@@ -415,7 +415,7 @@
 awaitable<envelope> leader_service::Lift(std::string payload) {
   const auto input = core::DecodeBinary<peering::named_item>(payload);
   if (!input) co_return Malformed();
-  if (!quarantine::HasEnds(crashes_, input->name)) {
+  if (!quarantine::HasCrashes(crashes_, input->name)) {
     co_return envelope{call_outcome::kNotFound, "", "no such request", ""};
   }
   NoteQuarantines(quarantine::Release(crashes_, input->name,
--- a/packages/hickoryd/call_quarantine.cc
+++ b/packages/hickoryd/call_quarantine.cc
@@ -262,7 +262,8 @@
 
 void call_quarantine::RecordServed(const quarantine::request_identity& input) {
   const bool may_have_crashes =
-      !unconfirmed_.empty() || quarantine::MayBeKnown(ledger_, key_, input);
+      !unconfirmed_.empty() ||
+      quarantine::MayMatchSuspect(ledger_, key_, input);
   if (!may_have_crashes) return;
   quarantine_news news;
   const std::string digest = quarantine::DigestOf(key_, input);
--- a/packages/quarantine/crash_detector.cc
+++ b/packages/quarantine/crash_detector.cc
@@ -93,9 +93,9 @@
 }
 
 void crash_detector::RecordServed(const request_identity& input) {
-  if (!MayBeKnown(ledger_, view_.members.digest_key, input)) return;
+  if (!MayMatchSuspect(ledger_, view_.members.digest_key, input)) return;
   const std::string digest = DigestOf(input);
-  if (!HasEnds(ledger_, digest)) return;
+  if (!HasCrashes(ledger_, digest)) return;
   Release(ledger_, digest, release_reason::kServed, clock_.Now());
   outbox_.served.push_back(digest);
   outbox_changed_.Notify();
--- a/packages/quarantine/crash_detector.h
+++ b/packages/quarantine/crash_detector.h
@@ -55,7 +55,7 @@
   // Number of endpoints that are being probed.
   size_t ProbesInProgress() const;
   // True if no request is suspected; then requests need no check.
-  bool IsQuiet() const { return ledger_.suspects.empty(); }
+  bool HasNoSuspects() const { return ledger_.suspects.empty(); }
   quarantine_decision Check(const request_identity& input) const;
   quarantine_decision CheckDigest(const std::string& digest) const;
   // Empty until the control group has generated the digest key.
--- a/packages/quarantine/crash_ledger.cc
+++ b/packages/quarantine/crash_ledger.cc
@@ -308,12 +308,12 @@
                                                : quarantine_state::kClear;
 }
 
-bool HasHead(const crash_ledger& ledger, const std::string& head) {
+bool HasDigestPrefix(const crash_ledger& ledger, const std::string& head) {
   const auto next = ledger.suspects.lower_bound(head);
   return next != ledger.suspects.end() && next->first.starts_with(head);
 }
 
-bool HasEnds(const crash_ledger& ledger, const std::string& digest) {
+bool HasCrashes(const crash_ledger& ledger, const std::string& digest) {
   const auto found = ledger.suspects.find(digest);
   return found != ledger.suspects.end() && !found->second.ends.empty();
 }
--- a/packages/quarantine/crash_ledger.h
+++ b/packages/quarantine/crash_ledger.h
@@ -122,10 +122,10 @@
                                    core::time_point now);
 
 // Whether the ledger has a request whose digest begins with `head`.
-bool HasHead(const crash_ledger& ledger, const std::string& head);
+bool HasDigestPrefix(const crash_ledger& ledger, const std::string& head);
 
 // Whether any crash is attributed to the request.
-bool HasEnds(const crash_ledger& ledger, const std::string& digest);
+bool HasCrashes(const crash_ledger& ledger, const std::string& digest);
 
 // The warnings that other processes receive, ordered by digest. Requests with a
 // single crash are left out, since every crash of an endpoint leaves many of
--- a/packages/quarantine/quarantine_decision.cc
+++ b/packages/quarantine/quarantine_decision.cc
@@ -2,15 +2,15 @@
 
 namespace hickorywood::quarantine {
 
-bool MayBeKnown(const crash_ledger& ledger, std::string_view key,
-                const request_identity& input) {
+bool MayMatchSuspect(const crash_ledger& ledger, std::string_view key,
+                     const request_identity& input) {
   if (ledger.suspects.empty()) return false;
-  return HasHead(ledger, DigestHeadOf(key, input));
+  return HasDigestPrefix(ledger, DigestHeadOf(key, input));
 }
 
 quarantine_decision Check(const crash_ledger& ledger, std::string_view key,
                           const request_identity& input, core::time_point now) {
-  if (!MayBeKnown(ledger, key, input)) return {};
+  if (!MayMatchSuspect(ledger, key, input)) return {};
   return CheckDigest(ledger, DigestOf(key, input), now);
 }
 
--- a/packages/quarantine/quarantine_decision.h
+++ b/packages/quarantine/quarantine_decision.h
@@ -23,8 +23,8 @@
 
 // Whether the request can be one of those in the ledger, by the prefix of its
 // digest. Avoids hashing bodies, which can have megabytes, for most requests.
-bool MayBeKnown(const crash_ledger& ledger, std::string_view key,
-                const request_identity& input);
+bool MayMatchSuspect(const crash_ledger& ledger, std::string_view key,
+                     const request_identity& input);
 
 // `key` is the key of the digests.
 quarantine_decision Check(const crash_ledger& ledger, std::string_view key,
--- a/packages/store/dispatcher_runs.cc
+++ b/packages/store/dispatcher_runs.cc
@@ -314,7 +314,7 @@
 
 bool dispatcher::MustWaitForQuarantine(const task_key& key,
                                        tracked_task& task) {
-  if (crashes_.IsQuiet()) {
+  if (crashes_.HasNoSuspects()) {
     task.is_waiting_for_quarantine = false;
     return false;
   }
--- a/tests/unit/quarantine/crash_ledger_test.cc
+++ b/tests/unit/quarantine/crash_ledger_test.cc
@@ -164,7 +164,7 @@
 TEST_F(CrashLedgerTest, OldCrashesAreRemoved) {
   RecordCrashes("cause", {"a", "b"});
   AdvanceTime(ledger_.options.retention);
-  EXPECT_FALSE(HasEnds(ledger_, "cause"));
+  EXPECT_FALSE(HasCrashes(ledger_, "cause"));
   EXPECT_TRUE(ledger_.by_crash.empty());
 }
 
@@ -209,7 +209,7 @@
     ASSERT_LE(ledger_.suspects.size(), ledger_.options.max_requests);
   }
   EXPECT_TRUE(IsQuarantined("known"));
-  EXPECT_TRUE(HasEnds(ledger_, "single"));
+  EXPECT_TRUE(HasCrashes(ledger_, "single"));
   EXPECT_LE(ledger_.by_crash.size(), ledger_.options.max_requests + 3);
 }
 
