--- a/packages/controller/leader_service.cc
+++ b/packages/controller/leader_service.cc
@@ -28,7 +28,7 @@
 using peering::call_outcome;
 using peering::envelope;
 
-constexpr milliseconds kHousePeriod{500};
+constexpr milliseconds kMaintenancePeriod{500};
 // A store that requested no view for this long is removed from the list. Well
 // above the duration of an election, so that a new leader does not remove any.
 constexpr std::chrono::seconds kStoreLifetime{20};
@@ -67,7 +67,7 @@
 
 void leader_service::Start() {
   views_.Start();
-  asio::co_spawn(loop_, KeepHouse(), asio::detached);
+  asio::co_spawn(loop_, RunMaintenanceLoop(), asio::detached);
 }
 
 envelope leader_service::NotLeader() const { return group::NotLeader(group_); }
@@ -431,9 +431,9 @@
   co_await CommitCall(kSetDigestKeyCommand, core::EncodeBinary(command));
 }
 
-awaitable<void> leader_service::KeepHouse() {
+awaitable<void> leader_service::RunMaintenanceLoop() {
   for (;;) {
-    co_await net::Sleep(kHousePeriod);
+    co_await net::Sleep(kMaintenancePeriod);
     if (!group_.IsServing()) continue;
     co_await CommitDigestKey();
     ExpireStores();
--- a/packages/controller/leader_service.h
+++ b/packages/controller/leader_service.h
@@ -72,7 +72,7 @@
   void NoteQuarantines(
       const std::vector<quarantine::quarantine_change>& changes);
   boost::asio::awaitable<void> CommitDigestKey();
-  boost::asio::awaitable<void> KeepHouse();
+  boost::asio::awaitable<void> RunMaintenanceLoop();
   void NoteEndpointsChanged();
   bool IsKnownService(const std::string& name) const;
   view_sources Sources() const;
--- a/packages/quarantine/crash_detector.cc
+++ b/packages/quarantine/crash_detector.cc
@@ -33,7 +33,7 @@
 constexpr milliseconds kRestartWindow{10000};
 // Pause after a failed attempt to send an update to the leader.
 constexpr milliseconds kSendRetryPause{100};
-constexpr std::chrono::seconds kHousePeriod{10};
+constexpr std::chrono::seconds kMaintenancePeriod{10};
 // Reports that wait to be sent: about 100 KB, which each instance may send to a
 // new leader.
 constexpr size_t kMostReports = 1024;
@@ -74,7 +74,7 @@
 
 void crash_detector::Start() {
   asio::co_spawn(loop_, KeepTelling(), asio::detached);
-  asio::co_spawn(loop_, KeepHouse(), asio::detached);
+  asio::co_spawn(loop_, RunMaintenanceLoop(), asio::detached);
 }
 
 std::string crash_detector::DigestOf(const request_identity& input) const {
@@ -337,9 +337,9 @@
   }
 }
 
-awaitable<void> crash_detector::KeepHouse() {
+awaitable<void> crash_detector::RunMaintenanceLoop() {
   for (;;) {
-    co_await net::Sleep(kHousePeriod);
+    co_await net::Sleep(kMaintenancePeriod);
     Expire(ledger_, clock_.Now());
   }
 }
--- a/packages/quarantine/crash_detector.h
+++ b/packages/quarantine/crash_detector.h
@@ -88,7 +88,7 @@
   void AddUnresponsive(const fleet::endpoint& target, affected_request item);
   void RemoveExpiredEntries();
   boost::asio::awaitable<void> KeepTelling();
-  boost::asio::awaitable<void> KeepHouse();
+  boost::asio::awaitable<void> RunMaintenanceLoop();
   void HandleCrash(const std::string& incarnation);
   bool HasSuccessor(const fleet::endpoint& previous) const;
   void MergeWarnings();
--- a/packages/store/step_service.cc
+++ b/packages/store/step_service.cc
@@ -25,7 +25,7 @@
 using peering::call_outcome;
 using peering::envelope;
 
-constexpr milliseconds kHousePeriod{500};
+constexpr milliseconds kMaintenancePeriod{500};
 // Period of the commands that remove old steps. Each command costs a disk sync.
 constexpr std::chrono::seconds kStepRemovalPeriod{10};
 // Maximum size of the outputs in one page of results. Further results are in
@@ -69,7 +69,7 @@
       options_(options) {}
 
 void step_service::Start() {
-  asio::co_spawn(loop_, KeepHouse(), asio::detached);
+  asio::co_spawn(loop_, RunMaintenanceLoop(), asio::detached);
 }
 
 void step_service::OnChange() {
@@ -247,10 +247,10 @@
   return group::CommitCall(group_, std::move(name), std::move(payload));
 }
 
-awaitable<void> step_service::KeepHouse() {
+awaitable<void> step_service::RunMaintenanceLoop() {
   time_point next_removal_at = clock_.Now() + kStepRemovalPeriod;
   for (;;) {
-    co_await net::Sleep(kHousePeriod);
+    co_await net::Sleep(kMaintenancePeriod);
     if (!group_.IsServing()) continue;
     // A leader that is being retired must transfer leadership before it can
     // leave the group.
--- a/packages/store/step_service.h
+++ b/packages/store/step_service.h
@@ -53,7 +53,7 @@
   answer ReadRetirement(std::string payload);
 
   answer CommitCall(std::string name, std::string payload);
-  boost::asio::awaitable<void> KeepHouse();
+  boost::asio::awaitable<void> RunMaintenanceLoop();
   boost::asio::awaitable<void> RemoveOldSteps();
   size_t StoresWithout(const std::string& node) const;
   peering::envelope NotLeader() const;
