--- a/packages/controller/heartbeat_relay.cc
+++ b/packages/controller/heartbeat_relay.cc
@@ -37,7 +37,7 @@
     : loop_(loop), clock_(clock), caller_(caller) {}
 
 void heartbeat_relay::Start() {
-  asio::co_spawn(loop_, KeepTelling(), asio::detached);
+  asio::co_spawn(loop_, RunForwardLoop(), asio::detached);
 }
 
 awaitable<envelope> heartbeat_relay::Forward(fleet::heartbeat input) {
@@ -66,7 +66,7 @@
          clock_.Now() >= refreshed_at_ + kRefreshPeriod;
 }
 
-awaitable<void> heartbeat_relay::KeepTelling() {
+awaitable<void> heartbeat_relay::RunForwardLoop() {
   for (;;) {
     if (queue_.empty() && !IsRefreshDue()) {
       co_await filled_.WaitUntil(cache_.refreshes.empty()
--- a/packages/controller/heartbeat_relay.h
+++ b/packages/controller/heartbeat_relay.h
@@ -34,7 +34,7 @@
     net::one_shot<peering::envelope> reply;
   };
 
-  boost::asio::awaitable<void> KeepTelling();
+  boost::asio::awaitable<void> RunForwardLoop();
   boost::asio::awaitable<void> Send(std::vector<waiting_heartbeat> waiting);
   bool IsRefreshDue() const;
 
--- a/packages/controller/view_publisher.cc
+++ b/packages/controller/view_publisher.cc
@@ -54,9 +54,11 @@
     : loop_(loop), clock_(clock), sources_(std::move(sources)) {}
 
 void view_publisher::Start() {
-  asio::co_spawn(loop_, KeepTelling(lists_, [this] { return UpdateLists(); }),
+  asio::co_spawn(loop_,
+                 RunPublishLoop(lists_, [this] { return UpdateLists(); }),
                  asio::detached);
-  asio::co_spawn(loop_, KeepTelling(weights_, [this] { return TellWeights(); }),
+  asio::co_spawn(loop_,
+                 RunPublishLoop(weights_, [this] { return TellWeights(); }),
                  asio::detached);
 }
 
@@ -95,8 +97,8 @@
   weights_.published.Notify();
 }
 
-awaitable<void> view_publisher::KeepTelling(gathering& channel,
-                                            publish_function publish) {
+awaitable<void> view_publisher::RunPublishLoop(gathering& channel,
+                                               publish_function publish) {
   for (;;) {
     if (!channel.has_changes) {
       co_await channel.changed.WaitUntil(time_point::max());
--- a/packages/controller/view_publisher.h
+++ b/packages/controller/view_publisher.h
@@ -74,8 +74,8 @@
 
   using publish_function = std::function<bool()>;
 
-  boost::asio::awaitable<void> KeepTelling(gathering& channel,
-                                           publish_function publish);
+  boost::asio::awaitable<void> RunPublishLoop(gathering& channel,
+                                              publish_function publish);
   void ScheduleUpdate(gathering& channel);
   bool UpdateLists();
   bool TellWeights();
--- a/packages/controller/weight_keeper.cc
+++ b/packages/controller/weight_keeper.cc
@@ -63,7 +63,7 @@
       options_(std::move(options)) {}
 
 void weight_keeper::Start() {
-  asio::co_spawn(loop_, KeepPlanning(), asio::detached);
+  asio::co_spawn(loop_, RunPlanLoop(), asio::detached);
 }
 
 bool weight_keeper::MayOrder() const {
@@ -89,7 +89,7 @@
   }
 }
 
-awaitable<void> weight_keeper::KeepPlanning() {
+awaitable<void> weight_keeper::RunPlanLoop() {
   for (;;) {
     const bool is_idle = state_.Versions().empty() || !MayOrder();
     co_await wake_.WaitUntil(clock_.Now() +
--- a/packages/controller/weight_keeper.h
+++ b/packages/controller/weight_keeper.h
@@ -54,7 +54,7 @@
  private:
   enum class load_outcome { kDone, kRetryLater, kFenced, kUnreachable };
 
-  boost::asio::awaitable<void> KeepPlanning();
+  boost::asio::awaitable<void> RunPlanLoop();
   void PlanService(const fleet::service& service);
   void StartLoad(const planned_load& load);
   boost::asio::awaitable<load_outcome> Load(planned_load load,
--- a/packages/group/group_host.cc
+++ b/packages/group/group_host.cc
@@ -75,8 +75,8 @@
 
 bool group_host::Start() {
   if (!replica_.Load()) return false;
-  asio::co_spawn(loop_, KeepTicking(), asio::detached);
-  asio::co_spawn(loop_, KeepJoining(), asio::detached);
+  asio::co_spawn(loop_, RunTickLoop(), asio::detached);
+  asio::co_spawn(loop_, RunJoinLoop(), asio::detached);
   return true;
 }
 
@@ -100,7 +100,7 @@
   return nodes;
 }
 
-awaitable<void> group_host::KeepTicking() {
+awaitable<void> group_host::RunTickLoop() {
   for (;;) {
     replica_.Tick();
     ScheduleFlush();
@@ -109,7 +109,7 @@
 }
 
 // Sends requests to join until the leader has made this replica a voter.
-awaitable<void> group_host::KeepJoining() {
+awaitable<void> group_host::RunJoinLoop() {
   for (;;) {
     co_await net::Sleep(kJoinPeriod);
     if (replica_.NeedsToJoin()) RequestToJoin();
--- a/packages/group/group_host.h
+++ b/packages/group/group_host.h
@@ -109,8 +109,8 @@
   void Send(const consensus::message& output) override;
 
   boost::asio::awaitable<void> Deliver(consensus::message output);
-  boost::asio::awaitable<void> KeepTicking();
-  boost::asio::awaitable<void> KeepJoining();
+  boost::asio::awaitable<void> RunTickLoop();
+  boost::asio::awaitable<void> RunJoinLoop();
   void ScheduleFlush();
   void RequestToJoin();
 
--- a/packages/quarantine/crash_detector.cc
+++ b/packages/quarantine/crash_detector.cc
@@ -73,7 +73,7 @@
       send_update_(std::move(send_update)) {}
 
 void crash_detector::Start() {
-  asio::co_spawn(loop_, KeepTelling(), asio::detached);
+  asio::co_spawn(loop_, RunReportLoop(), asio::detached);
   asio::co_spawn(loop_, RunMaintenanceLoop(), asio::detached);
 }
 
@@ -306,7 +306,7 @@
   outbox_changed_.Notify();
 }
 
-awaitable<void> crash_detector::KeepTelling() {
+awaitable<void> crash_detector::RunReportLoop() {
   for (;;) {
     const bool is_empty = outbox_.reports.empty() && outbox_.served.empty() &&
                           outbox_.forgiven.empty();
--- a/packages/quarantine/crash_detector.h
+++ b/packages/quarantine/crash_detector.h
@@ -87,7 +87,7 @@
   bool IsLeaving(const fleet::endpoint& target) const;
   void AddUnresponsive(const fleet::endpoint& target, affected_request item);
   void RemoveExpiredEntries();
-  boost::asio::awaitable<void> KeepTelling();
+  boost::asio::awaitable<void> RunReportLoop();
   boost::asio::awaitable<void> RunMaintenanceLoop();
   void HandleCrash(const std::string& incarnation);
   bool HasSuccessor(const fleet::endpoint& previous) const;
