--- a/packages/controller/view_publisher.cc
+++ b/packages/controller/view_publisher.cc
@@ -117,19 +117,19 @@
 }
 
 bool view_publisher::UpdateLists() {
-  const bool has_endpoints = fleet::TellEndpoints(log_, sources_.endpoints());
-  const bool has_warnings = fleet::TellWarnings(log_, sources_.warnings());
-  const bool has_members = fleet::TellMembers(log_, sources_.members());
+  const bool has_endpoints = fleet::UpdateEndpoints(log_, sources_.endpoints());
+  const bool has_warnings = fleet::UpdateWarnings(log_, sources_.warnings());
+  const bool has_members = fleet::UpdateMembers(log_, sources_.members());
   return has_endpoints || has_warnings || has_members;
 }
 
 bool view_publisher::TellWeights() {
-  return fleet::TellWeights(log_, sources_.weights());
+  return fleet::UpdateWeights(log_, sources_.weights());
 }
 
-bool view_publisher::HasNews(const fleet::view_request& input) const {
+bool view_publisher::HasChangesFor(const fleet::view_request& input) const {
   return sources_.config().version > input.held_config ||
-         fleet::HasNews(log_, input);
+         fleet::HasChangesFor(log_, input);
 }
 
 awaitable<std::string> view_publisher::Answer(fleet::view_request input) {
@@ -146,7 +146,7 @@
          interruptions == interruptions_) {
     co_await published.WaitUntil(complete_at_);
   }
-  while (!HasNews(input) && clock_.Now() < until &&
+  while (!HasChangesFor(input) && clock_.Now() < until &&
          interruptions == interruptions_) {
     co_await published.WaitUntil(until);
   }
--- a/packages/controller/view_publisher.h
+++ b/packages/controller/view_publisher.h
@@ -79,7 +79,7 @@
   void ScheduleUpdate(gathering& channel);
   bool UpdateLists();
   bool TellWeights();
-  bool HasNews(const fleet::view_request& input) const;
+  bool HasChangesFor(const fleet::view_request& input) const;
   const std::string& EncodedUpdate(fleet::view_request input);
   void Wake(gathering& channel);
 
--- a/packages/fleet/view_log.cc
+++ b/packages/fleet/view_log.cc
@@ -23,7 +23,8 @@
 }
 
 // Evicts the oldest records of `removals`, which belong to `log`.
-void EvictOldest(view_log& log, std::vector<told_item<std::string>>& removals) {
+void EvictOldest(view_log& log,
+                 std::vector<versioned_item<std::string>>& removals) {
   if (removals.size() <= kMaxRemovals) return;
   const size_t extra = removals.size() - kMaxRemovals;
   log.complete_from =
@@ -35,8 +36,8 @@
 // Updates `recorded_items` to `items`, with `next` as their count. Returns true
 // when something changed; adds the removed items to `removals`.
 template <typename Item>
-bool UpdateItems(std::map<std::string, told_item<Item>>& recorded_items,
-                 std::vector<told_item<std::string>>& removals,
+bool UpdateItems(std::map<std::string, versioned_item<Item>>& recorded_items,
+                 std::vector<versioned_item<std::string>>& removals,
                  const std::vector<Item>& items, std::string Item::*key,
                  uint64_t next) {
   bool is_changed = false;
@@ -71,7 +72,7 @@
   }
 }
 
-void AddRemovalsSince(const std::vector<told_item<std::string>>& removals,
+void AddRemovalsSince(const std::vector<versioned_item<std::string>>& removals,
                       uint64_t since, std::vector<std::string>& changes) {
   for (const auto& recorded : removals) {
     if (recorded.changed_at > since) changes.push_back(recorded.item);
@@ -127,7 +128,7 @@
   log.term = term;
 }
 
-bool TellEndpoints(view_log& log, const std::vector<endpoint>& endpoints) {
+bool UpdateEndpoints(view_log& log, const std::vector<endpoint>& endpoints) {
   const uint64_t next = log.count + 1;
   const bool is_changed = UpdateItems(log.endpoints, log.gone, endpoints,
                                       &endpoint::incarnation, next);
@@ -137,7 +138,8 @@
   return true;
 }
 
-bool TellWarnings(view_log& log, const std::vector<request_warning>& warnings) {
+bool UpdateWarnings(view_log& log,
+                    const std::vector<request_warning>& warnings) {
   const uint64_t next = log.count + 1;
   const bool is_changed = UpdateItems(log.warnings, log.lifted, warnings,
                                       &request_warning::digest, next);
@@ -147,15 +149,15 @@
   return true;
 }
 
-bool TellMembers(view_log& log, const view_members& members) {
+bool UpdateMembers(view_log& log, const view_members& members) {
   if (SameMembers(log.members, members)) return false;
   log.members = members;
   log.members_changed_at = ++log.count;
   return true;
 }
 
-bool TellWeights(view_log& log,
-                 const std::vector<engine_weights_entry>& weights) {
+bool UpdateWeights(view_log& log,
+                   const std::vector<engine_weights_entry>& weights) {
   const uint64_t next = log.weights_count + 1;
   bool is_changed = false;
   for (const engine_weights_entry& item : weights) {
@@ -170,7 +172,7 @@
   return is_changed;
 }
 
-bool HasNews(const view_log& log, const view_request& input) {
+bool HasChangesFor(const view_log& log, const view_request& input) {
   return LacksLists(log, input) || LacksWeights(log, input);
 }
 
--- a/packages/fleet/view_log.h
+++ b/packages/fleet/view_log.h
@@ -19,7 +19,7 @@
 namespace hickorywood::fleet {
 
 template <typename Item>
-struct told_item {
+struct versioned_item {
   Item item;
   uint64_t changed_at = 0;  // count of the list at the last change
 };
@@ -29,12 +29,12 @@
   // Version of the lists that every process gets: endpoints, warnings and
   // members.
   uint64_t count = 1;
-  std::map<std::string, told_item<endpoint>> endpoints;  // by incarnation
+  std::map<std::string, versioned_item<endpoint>> endpoints;  // by incarnation
   // Removed endpoints, in the order of their removal.
-  std::vector<told_item<std::string>> gone;
-  std::map<std::string, told_item<request_warning>> warnings;  // by digest
+  std::vector<versioned_item<std::string>> gone;
+  std::map<std::string, versioned_item<request_warning>> warnings;  // by digest
   // Digests of removed warnings, in the order of their removal.
-  std::vector<told_item<std::string>> lifted;
+  std::vector<versioned_item<std::string>> lifted;
   // Removals are recorded from this count on. A process with an earlier version
   // gets the complete lists.
   uint64_t complete_from = 0;
@@ -42,7 +42,8 @@
   uint64_t members_changed_at = 0;
   // Version of the weights, which only stores get.
   uint64_t weights_count = 1;
-  std::map<std::pair<std::string, std::string>, told_item<engine_weights_entry>>
+  std::map<std::pair<std::string, std::string>,
+           versioned_item<engine_weights_entry>>
       weights;  // by incarnation and model
 };
 
@@ -52,15 +53,16 @@
 
 // Record the current items. Return true when they differ from the published
 // ones.
-bool TellEndpoints(view_log& log, const std::vector<endpoint>& endpoints);
-bool TellWarnings(view_log& log, const std::vector<request_warning>& warnings);
-bool TellMembers(view_log& log, const view_members& members);
-bool TellWeights(view_log& log,
-                 const std::vector<engine_weights_entry>& weights);
+bool UpdateEndpoints(view_log& log, const std::vector<endpoint>& endpoints);
+bool UpdateWarnings(view_log& log,
+                    const std::vector<request_warning>& warnings);
+bool UpdateMembers(view_log& log, const view_members& members);
+bool UpdateWeights(view_log& log,
+                   const std::vector<engine_weights_entry>& weights);
 
 // Whether there are changes, besides the configuration, that the requester does
 // not have.
-bool HasNews(const view_log& log, const view_request& input);
+bool HasChangesFor(const view_log& log, const view_request& input);
 
 // Returns the response to `input`, without the configuration.
 view_update MakeUpdate(const view_log& log, const view_request& input);
--- a/tests/unit/fleet/view_log_test.cc
+++ b/tests/unit/fleet/view_log_test.cc
@@ -49,13 +49,13 @@
   view_log log;
   BeginTerm(log, 3);
   std::vector<endpoint> list = MakeEndpoints(1000);
-  ASSERT_TRUE(TellEndpoints(log, list));
+  ASSERT_TRUE(UpdateEndpoints(log, list));
   view held;
   Follow(held, log);
   ASSERT_EQ(held.endpoints.size(), 1000U);
   list[17].state = endpoint_state::kDraining;
   list.pop_back();
-  ASSERT_TRUE(TellEndpoints(log, list));
+  ASSERT_TRUE(UpdateEndpoints(log, list));
   const view_update update = MakeUpdate(log, RequestOf(held));
   EXPECT_EQ(update.lists, list_part::kChanges);
   ASSERT_EQ(update.endpoints.size(), 1U);
@@ -63,17 +63,17 @@
   EXPECT_EQ(update.gone, std::vector<std::string>{"i-999"});
   EXPECT_TRUE(ApplyUpdate(held, update));
   EXPECT_EQ(held.endpoints.size(), 999U);
-  EXPECT_FALSE(HasNews(log, RequestOf(held)));
+  EXPECT_FALSE(HasChangesFor(log, RequestOf(held)));
 }
 
 TEST(ViewLogTest, UnchangedItemsAreNoChange) {
   view_log log;
   BeginTerm(log, 1);
-  EXPECT_TRUE(TellEndpoints(log, MakeEndpoints(2)));
-  EXPECT_FALSE(TellEndpoints(log, MakeEndpoints(2)));
-  EXPECT_TRUE(TellWeights(log, {{"i-0", "m", 4, false}}));
-  EXPECT_FALSE(TellWeights(log, {{"i-0", "m", 4, false}}));
-  EXPECT_TRUE(TellWeights(log, {{"i-0", "m", 4, true}}));
+  EXPECT_TRUE(UpdateEndpoints(log, MakeEndpoints(2)));
+  EXPECT_FALSE(UpdateEndpoints(log, MakeEndpoints(2)));
+  EXPECT_TRUE(UpdateWeights(log, {{"i-0", "m", 4, false}}));
+  EXPECT_FALSE(UpdateWeights(log, {{"i-0", "m", 4, false}}));
+  EXPECT_TRUE(UpdateWeights(log, {{"i-0", "m", 4, true}}));
 }
 
 // A warning about a request is sent to all processes, and removed again,
@@ -81,19 +81,19 @@
 TEST(ViewLogTest, WarningsAreAddedAndRemovedAlone) {
   view_log log;
   BeginTerm(log, 1);
-  TellEndpoints(log, MakeEndpoints(3));
+  UpdateEndpoints(log, MakeEndpoints(3));
   view held;
   Follow(held, log);
   request_warning first{"d1", "customer", {"a", "b", "c"}, true, 600, 1};
   request_warning second{"d2", "customer", {"a", "b"}};
-  ASSERT_TRUE(TellWarnings(log, {first, second}));
-  EXPECT_FALSE(TellWarnings(log, {first, second}));
+  ASSERT_TRUE(UpdateWarnings(log, {first, second}));
+  EXPECT_FALSE(UpdateWarnings(log, {first, second}));
   const view_update update = MakeUpdate(log, RequestOf(held));
   EXPECT_TRUE(update.endpoints.empty());
   ASSERT_TRUE(ApplyUpdate(held, update));
   EXPECT_EQ(held.warnings, (std::vector<request_warning>{first, second}));
   second.ends.push_back("d");
-  ASSERT_TRUE(TellWarnings(log, {second}));
+  ASSERT_TRUE(UpdateWarnings(log, {second}));
   Follow(held, log);
   EXPECT_EQ(held.warnings, std::vector<request_warning>{second});
   EXPECT_EQ(held.endpoints.size(), 3U);
@@ -105,11 +105,11 @@
 TEST(ViewLogTest, AnotherTermGetsCompleteLists) {
   view_log log;
   BeginTerm(log, 1);
-  TellEndpoints(log, MakeEndpoints(3));
+  UpdateEndpoints(log, MakeEndpoints(3));
   view held;
   Follow(held, log);
   BeginTerm(log, 2);
-  TellEndpoints(log, MakeEndpoints(2));
+  UpdateEndpoints(log, MakeEndpoints(2));
   ASSERT_EQ(held.version.count, log.count);
   const view_update update = MakeUpdate(log, RequestOf(held));
   EXPECT_EQ(update.lists, list_part::kAll);
@@ -121,12 +121,12 @@
 TEST(ViewLogTest, OutdatedFollowerGetsCompleteLists) {
   view_log log;
   BeginTerm(log, 1);
-  TellEndpoints(log, MakeEndpoints(1));
+  UpdateEndpoints(log, MakeEndpoints(1));
   view held;
   Follow(held, log);
   for (int round = 0; round < 6; ++round) {
-    TellEndpoints(log, MakeEndpoints(1000));
-    TellEndpoints(log, MakeEndpoints(1));
+    UpdateEndpoints(log, MakeEndpoints(1000));
+    UpdateEndpoints(log, MakeEndpoints(1));
   }
   const view_update update = MakeUpdate(log, RequestOf(held));
   EXPECT_EQ(update.lists, list_part::kAll);
@@ -138,10 +138,10 @@
 TEST(ViewLogTest, ChangesOfAnotherBaseAreRejected) {
   view_log log;
   BeginTerm(log, 1);
-  TellEndpoints(log, MakeEndpoints(2));
+  UpdateEndpoints(log, MakeEndpoints(2));
   view held;
   Follow(held, log);
-  TellEndpoints(log, MakeEndpoints(3));
+  UpdateEndpoints(log, MakeEndpoints(3));
   view_update update = MakeUpdate(log, RequestOf(held));
   update.base.count -= 1;
   EXPECT_FALSE(ApplyUpdate(held, update));
@@ -185,8 +185,8 @@
     for (const auto& [key, version] : versions) {
       weights.push_back({"i-" + std::to_string(key), "m", version, false});
     }
-    TellEndpoints(log, list);
-    TellWeights(log, weights);
+    UpdateEndpoints(log, list);
+    UpdateWeights(log, weights);
   }
   Follow(held, log);
   std::vector<endpoint> expected;
