--- a/packages/controller/leader_service.cc
+++ b/packages/controller/leader_service.cc
@@ -170,7 +170,7 @@
 void leader_service::OnApplied() {
   if (state_.Config().version != published_config_) {
     published_config_ = state_.Config().version;
-    views_.NoteConfiguration();
+    views_.OnConfigurationChanged();
   }
   std::vector<std::string> members = group_.Members();
   const bool is_same = state_.DataFounder() == published_founder_ &&
@@ -180,15 +180,15 @@
   published_founder_ = state_.DataFounder();
   published_key_ = state_.DigestKey();
   published_members_ = std::move(members);
-  views_.NoteMembers();
+  views_.OnMembersChanged();
 }
 
 void leader_service::NoteEndpointsChanged() {
-  views_.NoteEndpoints();
+  views_.OnEndpointsChanged();
   if (on_endpoints) on_endpoints();
 }
 
-void leader_service::NoteWeightsChanged() { views_.NoteWeights(); }
+void leader_service::NoteWeightsChanged() { views_.OnWeightsChanged(); }
 
 awaitable<envelope> leader_service::GetView(std::string payload) {
   const auto input = core::DecodeBinary<fleet::view_request>(payload);
@@ -350,7 +350,7 @@
   if (is_new) {
     LogEvent(event_id::kStoreJoined,
              {{"instance", input.instance}, {"address", input.address}});
-    views_.NoteMembers();
+    views_.OnMembersChanged();
   }
   // Exactly one store may bootstrap the data group, so the choice is committed.
   const bool is_needed = input.may_found && state_.DataFounder().empty() &&
@@ -370,7 +370,7 @@
   const size_t removed = std::erase_if(stores_, [now](const auto& item) {
     return now - item.second.last_request_at > kStoreLifetime;
   });
-  if (removed > 0) views_.NoteMembers();
+  if (removed > 0) views_.OnMembersChanged();
 }
 
 awaitable<envelope> leader_service::Retire(std::string method,
@@ -392,7 +392,7 @@
 void leader_service::NoteQuarantines(
     const std::vector<quarantine::quarantine_change>& changes) {
   quarantine::LogChanges(crashes_, changes);
-  views_.NoteWarnings();
+  views_.OnWarningsChanged();
 }
 
 awaitable<envelope> leader_service::TakeCrashNews(std::string payload) {
--- a/packages/controller/view_publisher.cc
+++ b/packages/controller/view_publisher.cc
@@ -75,29 +75,29 @@
   Wake(lists_);
 }
 
-void view_publisher::NoteEndpoints() { ScheduleUpdate(lists_); }
+void view_publisher::OnEndpointsChanged() { ScheduleUpdate(lists_); }
 
-void view_publisher::NoteWarnings() { ScheduleUpdate(lists_); }
+void view_publisher::OnWarningsChanged() { ScheduleUpdate(lists_); }
 
-void view_publisher::NoteMembers() { ScheduleUpdate(lists_); }
+void view_publisher::OnMembersChanged() { ScheduleUpdate(lists_); }
 
-void view_publisher::NoteWeights() { ScheduleUpdate(weights_); }
+void view_publisher::OnWeightsChanged() { ScheduleUpdate(weights_); }
 
-void view_publisher::NoteConfiguration() { Wake(lists_); }
+void view_publisher::OnConfigurationChanged() { Wake(lists_); }
 
-void view_publisher::ScheduleUpdate(gathering& channel) {
+void view_publisher::ScheduleUpdate(update_channel& channel) {
   channel.has_changes = true;
   channel.changed.Notify();
 }
 
-void view_publisher::Wake(gathering& channel) {
+void view_publisher::Wake(update_channel& channel) {
   answers_.clear();
   // Stores follow both channels, but wait only for the event of the weights.
   if (&channel == &lists_) lists_.published.Notify();
   weights_.published.Notify();
 }
 
-awaitable<void> view_publisher::RunPublishLoop(gathering& channel,
+awaitable<void> view_publisher::RunPublishLoop(update_channel& channel,
                                                publish_function publish) {
   for (;;) {
     if (!channel.has_changes) {
--- a/packages/controller/view_publisher.h
+++ b/packages/controller/view_publisher.h
@@ -47,11 +47,11 @@
   void BeginTerm(uint64_t term, core::time_point complete_at);
 
   // Schedules the publication of the changed part.
-  void NoteEndpoints();
-  void NoteWarnings();
-  void NoteMembers();
-  void NoteWeights();
-  void NoteConfiguration();
+  void OnEndpointsChanged();
+  void OnWarningsChanged();
+  void OnMembersChanged();
+  void OnWeightsChanged();
+  void OnConfigurationChanged();
 
   // Handles the end of leadership: all waiting requests are answered at once.
   void Interrupt();
@@ -62,7 +62,7 @@
 
  private:
   // One kind of changes, and the processes that wait for it.
-  struct gathering {
+  struct update_channel {
     bool has_changes = false;
     core::time_point published_at{};
     // Number of processes that wait for it now. Shared with the waiting
@@ -74,21 +74,21 @@
 
   using publish_function = std::function<bool()>;
 
-  boost::asio::awaitable<void> RunPublishLoop(gathering& channel,
+  boost::asio::awaitable<void> RunPublishLoop(update_channel& channel,
                                               publish_function publish);
-  void ScheduleUpdate(gathering& channel);
+  void ScheduleUpdate(update_channel& channel);
   bool UpdateLists();
   bool TellWeights();
   bool HasChangesFor(const fleet::view_request& input) const;
   const std::string& EncodedUpdate(fleet::view_request input);
-  void Wake(gathering& channel);
+  void Wake(update_channel& channel);
 
   boost::asio::io_context& loop_;
   const core::runtime_clock& clock_;
   const view_sources sources_;
   fleet::view_log log_;
-  gathering lists_;    // endpoints, warnings and members, for every process
-  gathering weights_;  // for stores, which also follow the lists
+  update_channel lists_;  // endpoints, warnings and members, for every process
+  update_channel weights_;  // for stores, which also follow the lists
   uint64_t interruptions_ = 0;
   core::time_point complete_at_{};
   // Responses encoded since the last change. Most processes have the same
--- a/tests/unit/controller/view_publisher_test.cc
+++ b/tests/unit/controller/view_publisher_test.cc
@@ -80,7 +80,7 @@
   RequestUpdate(entry, false);
   RequestUpdate(store, true);
   weights = {{"i-1", "m", 2, true}};
-  publisher.NoteWeights();
+  publisher.OnWeightsChanged();
   RunUntil(store);
   loop.poll();
   EXPECT_EQ(store->weights_part, fleet::list_part::kChanges);
@@ -102,7 +102,7 @@
     fleet::endpoint item;
     item.incarnation = "i-" + std::to_string(i);
     endpoints.push_back(item);
-    publisher.NoteEndpoints();
+    publisher.OnEndpointsChanged();
     loop.poll();
     loop.restart();
     if (!entry) continue;
@@ -125,7 +125,7 @@
   RequestUpdate(entry, false);
   loop.poll();
   config.version = 7;
-  publisher.NoteConfiguration();
+  publisher.OnConfigurationChanged();
   loop.poll();
   ASSERT_TRUE(entry);
   EXPECT_TRUE(entry->has_config);
@@ -148,7 +148,7 @@
   loop.poll();
   EXPECT_FALSE(new_process);
   warnings.push_back({});
-  publisher.NoteWarnings();
+  publisher.OnWarningsChanged();
   clock.Advance(milliseconds(300));
   RunUntil(new_process);
   EXPECT_EQ(new_process->warnings.size(), 1U);
