--- a/packages/controller/leader_service.cc
+++ b/packages/controller/leader_service.cc
@@ -222,7 +222,7 @@
     answer.refusals.push_back(TakeHeartbeat(item));
   }
   for (const fleet::heartbeat_refresh& item : input->refreshes) {
-    const bool is_known = fleet::Refresh(registry_, item, clock_.Now());
+    const bool is_known = fleet::ApplyRefresh(registry_, item, clock_.Now());
     if (!is_known) answer.unknown.push_back(item.incarnation);
   }
   co_return Done(core::EncodeBinary(answer));
@@ -240,7 +240,7 @@
              {{"endpoint", incarnation}, {"reason", reason}});
     return reason;
   }
-  const bool is_changed = fleet::TakeHeartbeat(registry_, input, clock_.Now());
+  const bool is_changed = fleet::ApplyHeartbeat(registry_, input, clock_.Now());
   bool is_newer = false;
   // A heartbeat of an older incarnation says nothing about the weights of the
   // newest one.
@@ -266,7 +266,7 @@
 awaitable<envelope> leader_service::TakeLeave(std::string payload) {
   const auto input = core::DecodeBinary<fleet::departure>(payload);
   if (!input) co_return Malformed();
-  if (fleet::TakeLeave(registry_, *input, clock_.Now())) {
+  if (fleet::ApplyDeparture(registry_, *input, clock_.Now())) {
     LogEvent(
         event_id::kEndpointLeft,
         {{"endpoint", fleet::IncarnationOf(input->name, input->started_ms)}});
--- a/packages/fleet/endpoint_registry.cc
+++ b/packages/fleet/endpoint_registry.cc
@@ -108,8 +108,8 @@
   return fields(left) == fields(right);
 }
 
-bool TakeHeartbeat(endpoint_registry& registry, const heartbeat& input,
-                   core::time_point now) {
+bool ApplyHeartbeat(endpoint_registry& registry, const heartbeat& input,
+                    core::time_point now) {
   const std::string incarnation = IncarnationOf(input);
   if (registry.departed.count(incarnation) != 0) return false;
   if (!IsNewestIncarnation(registry, input, now)) return false;
@@ -136,8 +136,8 @@
   return is_changed;
 }
 
-bool Refresh(endpoint_registry& registry, const heartbeat_refresh& input,
-             core::time_point now) {
+bool ApplyRefresh(endpoint_registry& registry, const heartbeat_refresh& input,
+                  core::time_point now) {
   const auto listed = registry.endpoints.find(input.incarnation);
   if (listed == registry.endpoints.end()) return false;
   registered_endpoint& entry = listed->second;
@@ -152,8 +152,8 @@
   return true;
 }
 
-bool TakeLeave(endpoint_registry& registry, const departure& input,
-               core::time_point now) {
+bool ApplyDeparture(endpoint_registry& registry, const departure& input,
+                    core::time_point now) {
   // A departure without a start time refers to the newest incarnation.
   const auto last = registry.incarnations.find(input.name);
   const bool is_of_newest =
--- a/packages/fleet/endpoint_registry.h
+++ b/packages/fleet/endpoint_registry.h
@@ -134,19 +134,19 @@
 // is one exception: when the newest incarnation has been unresponsive, and the
 // older one has sent heartbeats with increasing sequence for as long, the older
 // one is accepted, because its clock was set back before it started.
-bool TakeHeartbeat(endpoint_registry& registry, const heartbeat& input,
-                   core::time_point now);
+bool ApplyHeartbeat(endpoint_registry& registry, const heartbeat& input,
+                    core::time_point now);
 
 // Applies a refresh like the heartbeat that it stands for. Returns false when
 // the complete heartbeat is needed: there is no such endpoint, or it was
 // unresponsive.
-bool Refresh(endpoint_registry& registry, const heartbeat_refresh& input,
-             core::time_point now);
+bool ApplyRefresh(endpoint_registry& registry, const heartbeat_refresh& input,
+                  core::time_point now);
 
 // Removes an endpoint that reports its departure. The departure of an older
 // incarnation does not remove a newer one. Returns true when the list changed.
-bool TakeLeave(endpoint_registry& registry, const departure& input,
-               core::time_point now);
+bool ApplyDeparture(endpoint_registry& registry, const departure& input,
+                    core::time_point now);
 
 // Marks unresponsive endpoints, and removes them after a while. Returns true
 // when the list changed.
--- a/tests/unit/fleet/endpoint_registry_test.cc
+++ b/tests/unit/fleet/endpoint_registry_test.cc
@@ -27,9 +27,9 @@
   endpoint_registry registry;
   heartbeat draining = Beat("a", 5);
   draining.is_draining = true;
-  EXPECT_TRUE(TakeHeartbeat(registry, Beat("a", 4), kStart));
-  EXPECT_TRUE(TakeHeartbeat(registry, draining, kStart));
-  EXPECT_FALSE(TakeHeartbeat(registry, Beat("a", 3), kStart));
+  EXPECT_TRUE(ApplyHeartbeat(registry, Beat("a", 4), kStart));
+  EXPECT_TRUE(ApplyHeartbeat(registry, draining, kStart));
+  EXPECT_FALSE(ApplyHeartbeat(registry, Beat("a", 3), kStart));
   EXPECT_EQ(registry.endpoints.at("a").item.state, endpoint_state::kDraining);
 }
 
@@ -40,8 +40,8 @@
   endpoint_registry registry;
   heartbeat draining = Beat("a", 1);
   draining.is_draining = true;
-  TakeHeartbeat(registry, draining, kStart);
-  TakeHeartbeat(registry, Beat("a", 2), kStart);
+  ApplyHeartbeat(registry, draining, kStart);
+  ApplyHeartbeat(registry, Beat("a", 2), kStart);
   EXPECT_EQ(registry.endpoints.at("a").item.state, endpoint_state::kDraining);
 }
 
@@ -49,9 +49,9 @@
 // must not be listed again: no process serves at its address any more.
 TEST(EndpointRegistryTest, DelayedHeartbeatDoesNotRestoreADepartedEndpoint) {
   endpoint_registry registry;
-  TakeHeartbeat(registry, Beat("a", 1), kStart);
-  EXPECT_TRUE(TakeLeave(registry, {"a"}, kStart));
-  EXPECT_FALSE(TakeHeartbeat(registry, Beat("a", 2), kStart + seconds(3)));
+  ApplyHeartbeat(registry, Beat("a", 1), kStart);
+  EXPECT_TRUE(ApplyDeparture(registry, {"a"}, kStart));
+  EXPECT_FALSE(ApplyHeartbeat(registry, Beat("a", 2), kStart + seconds(3)));
   EXPECT_TRUE(registry.endpoints.empty());
 }
 
@@ -59,10 +59,10 @@
 // heartbeat of the old one arrives: callers must continue to use the new one.
 TEST(EndpointRegistryTest, DelayedHeartbeatDoesNotReclaimTheAddress) {
   endpoint_registry registry;
-  TakeHeartbeat(registry, Beat("old", 7), kStart);
-  TakeHeartbeat(registry, Beat("new", 1), kStart + seconds(4));
+  ApplyHeartbeat(registry, Beat("old", 7), kStart);
+  ApplyHeartbeat(registry, Beat("new", 1), kStart + seconds(4));
   EXPECT_EQ(registry.endpoints.count("old"), 0U);
-  EXPECT_FALSE(TakeHeartbeat(registry, Beat("old", 8), kStart + seconds(5)));
+  EXPECT_FALSE(ApplyHeartbeat(registry, Beat("old", 8), kStart + seconds(5)));
   EXPECT_EQ(registry.endpoints.count("new"), 1U);
 }
 
@@ -71,11 +71,11 @@
 // send heartbeats and is listed again.
 TEST(EndpointRegistryTest, LiveIncarnationReclaimsItsAddress) {
   endpoint_registry registry;
-  TakeHeartbeat(registry, Beat("live", 10), kStart);
-  TakeHeartbeat(registry, Beat("ghost", 3), kStart + seconds(1));
+  ApplyHeartbeat(registry, Beat("live", 10), kStart);
+  ApplyHeartbeat(registry, Beat("ghost", 3), kStart + seconds(1));
   EXPECT_EQ(registry.endpoints.count("live"), 0U);
-  TakeHeartbeat(registry, Beat("live", 11), kStart + seconds(2));
-  TakeHeartbeat(registry, Beat("live", 12), kStart + seconds(3));
+  ApplyHeartbeat(registry, Beat("live", 11), kStart + seconds(2));
+  ApplyHeartbeat(registry, Beat("live", 12), kStart + seconds(3));
   EXPECT_EQ(registry.endpoints.count("live"), 1U);
   EXPECT_EQ(registry.endpoints.count("ghost"), 0U);
 }
@@ -85,11 +85,11 @@
 // long time.
 TEST(EndpointRegistryTest, UnresponsiveEndpointIsMarkedAndRemovedMuchLater) {
   endpoint_registry registry;
-  TakeHeartbeat(registry, Beat("a", 1), kStart);
+  ApplyHeartbeat(registry, Beat("a", 1), kStart);
   EXPECT_FALSE(ExpireEndpoints(registry, kStart + milliseconds(4599)));
   EXPECT_TRUE(ExpireEndpoints(registry, kStart + milliseconds(4600)));
   EXPECT_EQ(registry.endpoints.at("a").item.state, endpoint_state::kSilent);
-  EXPECT_TRUE(TakeHeartbeat(registry, Beat("a", 2), kStart + seconds(10)));
+  EXPECT_TRUE(ApplyHeartbeat(registry, Beat("a", 2), kStart + seconds(10)));
   EXPECT_EQ(registry.endpoints.at("a").item.state, endpoint_state::kReady);
   EXPECT_TRUE(ExpireEndpoints(registry, kStart + seconds(70)));
   EXPECT_TRUE(registry.endpoints.empty());
@@ -99,12 +99,12 @@
 // apply their next heartbeat, with any sequence.
 TEST(EndpointRegistryTest, AdoptedEndpointsAcceptTheNextHeartbeat) {
   endpoint_registry before;
-  TakeHeartbeat(before, Beat("a", 41), kStart);
+  ApplyHeartbeat(before, Beat("a", 41), kStart);
   endpoint_registry after;
   AdoptEndpoints(after, ListEndpoints(before), kStart);
   heartbeat draining = Beat("a", 42);
   draining.is_draining = true;
-  EXPECT_TRUE(TakeHeartbeat(after, draining, kStart));
+  EXPECT_TRUE(ApplyHeartbeat(after, draining, kStart));
   EXPECT_EQ(after.endpoints.at("a").item.state, endpoint_state::kDraining);
 }
 
@@ -124,9 +124,9 @@
 // on, and no record of the old one is attributed to it.
 TEST(EndpointRegistryTest, RestartUnderTheSameNameIsAnotherIncarnation) {
   endpoint_registry registry;
-  TakeHeartbeat(registry, BeatOfIncarnation(1000, 40), kStart);
-  EXPECT_TRUE(
-      TakeHeartbeat(registry, BeatOfIncarnation(2000, 1), kStart + seconds(1)));
+  ApplyHeartbeat(registry, BeatOfIncarnation(1000, 40), kStart);
+  EXPECT_TRUE(ApplyHeartbeat(registry, BeatOfIncarnation(2000, 1),
+                             kStart + seconds(1)));
   EXPECT_EQ(Listed(registry), IncarnationOf("a", 2000));
   EXPECT_EQ(registry.endpoints.begin()->second.item.name, "a");
 }
@@ -137,12 +137,12 @@
   endpoint_registry registry;
   heartbeat draining = BeatOfIncarnation(1000, 1);
   draining.is_draining = true;
-  TakeHeartbeat(registry, draining, kStart);
-  TakeHeartbeat(registry, BeatOfIncarnation(2000, 1), kStart);
+  ApplyHeartbeat(registry, draining, kStart);
+  ApplyHeartbeat(registry, BeatOfIncarnation(2000, 1), kStart);
   EXPECT_EQ(registry.endpoints.begin()->second.item.state,
             endpoint_state::kReady);
-  EXPECT_TRUE(TakeLeave(registry, {"a", 2000}, kStart));
-  EXPECT_TRUE(TakeHeartbeat(registry, BeatOfIncarnation(3000, 1), kStart));
+  EXPECT_TRUE(ApplyDeparture(registry, {"a", 2000}, kStart));
+  EXPECT_TRUE(ApplyHeartbeat(registry, BeatOfIncarnation(3000, 1), kStart));
   EXPECT_EQ(Listed(registry), IncarnationOf("a", 3000));
 }
 
@@ -151,13 +151,13 @@
 // its departure arrive and change nothing.
 TEST(EndpointRegistryTest, HeartbeatsOfAnOlderIncarnationChangeNothing) {
   endpoint_registry registry;
-  TakeHeartbeat(registry, BeatOfIncarnation(1000, 4), kStart);
-  TakeHeartbeat(registry, BeatOfIncarnation(2000, 1), kStart);
+  ApplyHeartbeat(registry, BeatOfIncarnation(1000, 4), kStart);
+  ApplyHeartbeat(registry, BeatOfIncarnation(2000, 1), kStart);
   for (uint64_t sequence : {9, 7, 8, 12}) {
-    EXPECT_FALSE(TakeHeartbeat(registry, BeatOfIncarnation(1000, sequence),
-                               kStart + seconds(1)));
+    EXPECT_FALSE(ApplyHeartbeat(registry, BeatOfIncarnation(1000, sequence),
+                                kStart + seconds(1)));
   }
-  EXPECT_FALSE(TakeLeave(registry, {"a", 1000}, kStart + seconds(1)));
+  EXPECT_FALSE(ApplyDeparture(registry, {"a", 1000}, kStart + seconds(1)));
   EXPECT_EQ(Listed(registry), IncarnationOf("a", 2000));
 }
 
@@ -165,10 +165,10 @@
 // of the older one arrive in a burst, and must not list it again.
 TEST(EndpointRegistryTest, BurstOfDelayedHeartbeatsRestoresNoEndpoint) {
   endpoint_registry registry;
-  TakeHeartbeat(registry, BeatOfIncarnation(2000, 1), kStart);
+  ApplyHeartbeat(registry, BeatOfIncarnation(2000, 1), kStart);
   for (uint64_t sequence = 1; sequence < 20; ++sequence) {
-    EXPECT_FALSE(TakeHeartbeat(registry, BeatOfIncarnation(1000, sequence),
-                               kStart + seconds(10)));
+    EXPECT_FALSE(ApplyHeartbeat(registry, BeatOfIncarnation(1000, sequence),
+                                kStart + seconds(10)));
   }
   EXPECT_EQ(Listed(registry), IncarnationOf("a", 2000));
 }
@@ -180,12 +180,12 @@
 // sequence for as long.
 TEST(EndpointRegistryTest, RestartWithAClockSetBackIsAcceptedEventually) {
   endpoint_registry registry;
-  TakeHeartbeat(registry, BeatOfIncarnation(2000, 50), kStart);
+  ApplyHeartbeat(registry, BeatOfIncarnation(2000, 50), kStart);
   core::time_point now = kStart;
   uint64_t sequence = 0;
   while (Listed(registry) != IncarnationOf("a", 1000) && sequence < 100) {
     now += milliseconds(1200);
-    TakeHeartbeat(registry, BeatOfIncarnation(1000, ++sequence), now);
+    ApplyHeartbeat(registry, BeatOfIncarnation(1000, ++sequence), now);
   }
   EXPECT_EQ(Listed(registry), IncarnationOf("a", 1000));
   EXPECT_GE(now - kStart, 2 * registry.options.silent_after);
@@ -196,9 +196,9 @@
 // alive.
 TEST(EndpointRegistryTest, RepeatedOldHeartbeatIsIgnored) {
   endpoint_registry registry;
-  TakeHeartbeat(registry, BeatOfIncarnation(2000, 1), kStart);
+  ApplyHeartbeat(registry, BeatOfIncarnation(2000, 1), kStart);
   for (int i = 0; i < 30; ++i) {
-    TakeHeartbeat(registry, BeatOfIncarnation(1000, 7), kStart + seconds(i));
+    ApplyHeartbeat(registry, BeatOfIncarnation(1000, 7), kStart + seconds(i));
   }
   EXPECT_EQ(Listed(registry), IncarnationOf("a", 2000));
 }
@@ -206,18 +206,18 @@
 // An endpoint that does not report its start time leaves without it.
 TEST(EndpointRegistryTest, DepartureWithoutAStartTimeRemovesTheNewest) {
   endpoint_registry registry;
-  TakeHeartbeat(registry, BeatOfIncarnation(2000, 1), kStart);
-  EXPECT_TRUE(TakeLeave(registry, {"a"}, kStart));
+  ApplyHeartbeat(registry, BeatOfIncarnation(2000, 1), kStart);
+  EXPECT_TRUE(ApplyDeparture(registry, {"a"}, kStart));
   EXPECT_TRUE(registry.endpoints.empty());
 }
 
 // A new leader has the newest incarnation of each name from the view.
 TEST(EndpointRegistryTest, AdoptedIncarnationsRejectOlderOnes) {
   endpoint_registry before;
-  TakeHeartbeat(before, BeatOfIncarnation(2000, 1), kStart);
+  ApplyHeartbeat(before, BeatOfIncarnation(2000, 1), kStart);
   endpoint_registry after;
   AdoptEndpoints(after, ListEndpoints(before), kStart);
-  EXPECT_FALSE(TakeHeartbeat(after, BeatOfIncarnation(1000, 9), kStart));
+  EXPECT_FALSE(ApplyHeartbeat(after, BeatOfIncarnation(1000, 9), kStart));
   EXPECT_EQ(Listed(after), IncarnationOf("a", 2000));
 }
 
@@ -225,10 +225,11 @@
 // ready, as it does with complete heartbeats.
 TEST(EndpointRegistryTest, RefreshKeepsAnEndpoint) {
   endpoint_registry registry;
-  TakeHeartbeat(registry, Beat("a", 1), kStart);
+  ApplyHeartbeat(registry, Beat("a", 1), kStart);
   for (int i = 1; i <= 10; ++i) {
     const core::time_point now = kStart + seconds(i);
-    EXPECT_TRUE(Refresh(registry, {"a", static_cast<uint64_t>(i + 1)}, now));
+    EXPECT_TRUE(
+        ApplyRefresh(registry, {"a", static_cast<uint64_t>(i + 1)}, now));
     EXPECT_FALSE(ExpireEndpoints(registry, now));
   }
   EXPECT_EQ(registry.endpoints.at("a").item.state, endpoint_state::kReady);
@@ -237,8 +238,8 @@
 // A delayed refresh does not prove that the endpoint is alive now.
 TEST(EndpointRegistryTest, DelayedRefreshIsIgnored) {
   endpoint_registry registry;
-  TakeHeartbeat(registry, Beat("a", 9), kStart);
-  EXPECT_TRUE(Refresh(registry, {"a", 8}, kStart + seconds(10)));
+  ApplyHeartbeat(registry, Beat("a", 9), kStart);
+  EXPECT_TRUE(ApplyRefresh(registry, {"a", 8}, kStart + seconds(10)));
   EXPECT_TRUE(ExpireEndpoints(registry, kStart + seconds(10)));
 }
 
@@ -246,22 +247,22 @@
 // heartbeat: a refresh contains no address, and can't change the list.
 TEST(EndpointRegistryTest, RefreshRestoresNoEndpoint) {
   endpoint_registry registry;
-  TakeHeartbeat(registry, Beat("a", 1), kStart);
-  TakeHeartbeat(registry, Beat("b", 1), kStart);  // at the same address
-  EXPECT_FALSE(Refresh(registry, {"a", 2}, kStart));
+  ApplyHeartbeat(registry, Beat("a", 1), kStart);
+  ApplyHeartbeat(registry, Beat("b", 1), kStart);  // at the same address
+  EXPECT_FALSE(ApplyRefresh(registry, {"a", 2}, kStart));
   ExpireEndpoints(registry, kStart + seconds(10));
-  EXPECT_FALSE(Refresh(registry, {"b", 2}, kStart + seconds(10)));
-  TakeLeave(registry, {"b"}, kStart);
-  EXPECT_FALSE(Refresh(registry, {"b", 3}, kStart));
+  EXPECT_FALSE(ApplyRefresh(registry, {"b", 2}, kStart + seconds(10)));
+  ApplyDeparture(registry, {"b"}, kStart);
+  EXPECT_FALSE(ApplyRefresh(registry, {"b", 3}, kStart));
   EXPECT_TRUE(registry.endpoints.empty());
 }
 
 // An endpoint changes its address to that of another one.
 TEST(EndpointRegistryTest, EndpointWithANewAddressReplacesTheOther) {
   endpoint_registry registry;
-  TakeHeartbeat(registry, Beat("a", 1, "10.0.0.1:80"), kStart);
-  TakeHeartbeat(registry, Beat("b", 1, "10.0.0.2:80"), kStart);
-  EXPECT_TRUE(TakeHeartbeat(registry, Beat("a", 2, "10.0.0.2:80"), kStart));
+  ApplyHeartbeat(registry, Beat("a", 1, "10.0.0.1:80"), kStart);
+  ApplyHeartbeat(registry, Beat("b", 1, "10.0.0.2:80"), kStart);
+  EXPECT_TRUE(ApplyHeartbeat(registry, Beat("a", 2, "10.0.0.2:80"), kStart));
   ASSERT_EQ(registry.endpoints.size(), 1U);
   EXPECT_EQ(registry.endpoints.count("a"), 1U);
 }
