--- a/packages/fleet/endpoint_registry.cc
+++ b/packages/fleet/endpoint_registry.cc
@@ -41,7 +41,7 @@
 // history of the name.
 bool IsNewestIncarnation(endpoint_registry& registry, const heartbeat& input,
                          core::time_point now) {
-  known_start& last = registry.incarnations[input.name];
+  incarnation_history& last = registry.incarnations[input.name];
   if (input.started_ms >= last.started_ms) {
     last = {input.started_ms, now};
     return true;
@@ -147,7 +147,7 @@
   if (input.sequence <= entry.sequence) return true;
   entry.sequence = input.sequence;
   entry.last_heartbeat_at = now;
-  known_start& last = registry.incarnations[entry.item.name];
+  incarnation_history& last = registry.incarnations[entry.item.name];
   if (last.started_ms == entry.item.started_ms) last.seen_at = now;
   return true;
 }
--- a/packages/fleet/endpoint_registry.h
+++ b/packages/fleet/endpoint_registry.h
@@ -109,7 +109,7 @@
 
 // The newest incarnation of a name, and an older one that still sends
 // heartbeats and may turn out to be the live one.
-struct known_start {
+struct incarnation_history {
   int64_t started_ms = 0;
   core::time_point seen_at{};     // last heartbeat of the newest one
   int64_t older_ms = 0;           // start of the older one; 0: none
@@ -124,7 +124,7 @@
   // Incarnations whose address another incarnation announced, with their latest
   // sequence.
   std::map<std::string, uint64_t> superseded;
-  std::map<std::string, known_start> incarnations;  // by name
+  std::map<std::string, incarnation_history> incarnations;  // by name
 };
 
 // Applies a heartbeat. Returns true when the list of endpoints changed.
