--- a/packages/controller/controller.cc
+++ b/packages/controller/controller.cc
@@ -80,7 +80,7 @@
               [this](net::exchange& call) { return ServePeer(call); }),
         control(io, ControlListenerOptions(node.control_address),
                 [this](net::exchange& call) { return api.Serve(call); }) {
-    registry.options.silent_after =
+    registry.options.unresponsive_after =
         node.endpoint_heartbeat * kMaxMissedHeartbeats + kHeartbeatDelay;
     caller.ServeLocally(
         node.peers_address, [this](std::string method, std::string payload) {
--- a/packages/fleet/endpoint_registry.cc
+++ b/packages/fleet/endpoint_registry.cc
@@ -46,7 +46,7 @@
     last = {input.started_ms, now};
     return true;
   }
-  if (now - last.seen_at < registry.options.silent_after) return false;
+  if (now - last.seen_at < registry.options.unresponsive_after) return false;
   const bool is_next_of_older =
       last.older_ms == input.started_ms && input.sequence > last.older_sequence;
   if (!is_next_of_older) {
@@ -56,7 +56,7 @@
   last.older_sequence = input.sequence;
   // Delayed heartbeats arrive within a short time; a live process sends
   // heartbeats for longer.
-  if (now - last.older_from < registry.options.silent_after) return false;
+  if (now - last.older_from < registry.options.unresponsive_after) return false;
   last = {input.started_ms, now};
   return true;
 }
@@ -143,7 +143,7 @@
   registered_endpoint& entry = listed->second;
   // The return of an unresponsive endpoint changes the list, which needs its
   // heartbeat.
-  if (entry.item.state == endpoint_state::kSilent) return false;
+  if (entry.item.state == endpoint_state::kUnresponsive) return false;
   if (input.sequence <= entry.sequence) return true;
   entry.sequence = input.sequence;
   entry.last_heartbeat_at = now;
@@ -172,14 +172,14 @@
   for (auto item = endpoints.begin(); item != endpoints.end();) {
     registered_endpoint& entry = item->second;
     const auto time_since_heartbeat = now - entry.last_heartbeat_at;
-    if (time_since_heartbeat >= options.forget_after) {
+    if (time_since_heartbeat >= options.remove_after) {
       item = endpoints.erase(item);
       is_changed = true;
       continue;
     }
-    if (time_since_heartbeat >= options.silent_after &&
+    if (time_since_heartbeat >= options.unresponsive_after &&
         entry.item.state == endpoint_state::kReady) {
-      entry.item.state = endpoint_state::kSilent;
+      entry.item.state = endpoint_state::kUnresponsive;
       is_changed = true;
     }
     ++item;
--- a/packages/fleet/endpoint_registry.h
+++ b/packages/fleet/endpoint_registry.h
@@ -65,13 +65,13 @@
 
 enum class endpoint_state {
   kReady,
-  kDraining,  // accepts no new work
-  kSilent,    // no heartbeat within the timeout; it may still serve
+  kDraining,      // accepts no new work
+  kUnresponsive,  // no heartbeat within the timeout; it may still serve
 };
 NLOHMANN_JSON_SERIALIZE_ENUM(endpoint_state,
                              {{endpoint_state::kReady, "ready"},
                               {endpoint_state::kDraining, "draining"},
-                              {endpoint_state::kSilent, "silent"}})
+                              {endpoint_state::kUnresponsive, "silent"}})
 
 struct endpoint {
   std::string incarnation;  // see IncarnationOf()
@@ -91,11 +91,11 @@
 
 struct registry_options {
   // Three heartbeats and a second for delays.
-  std::chrono::milliseconds silent_after{4600};
+  std::chrono::milliseconds unresponsive_after{4600};
   // How long an unresponsive endpoint stays in the list: a network partition
   // between it and the control group can last, while its callers may still
   // reach it.
-  std::chrono::milliseconds forget_after{60000};
+  std::chrono::milliseconds remove_after{60000};
   // How long an incarnation that left is recorded, so that a delayed heartbeat
   // does not add it again.
   std::chrono::milliseconds departed_retention{120000};
--- a/tests/unit/fleet/endpoint_registry_test.cc
+++ b/tests/unit/fleet/endpoint_registry_test.cc
@@ -88,7 +88,8 @@
   ApplyHeartbeat(registry, Beat("a", 1), kStart);
   EXPECT_FALSE(ExpireEndpoints(registry, kStart + milliseconds(4599)));
   EXPECT_TRUE(ExpireEndpoints(registry, kStart + milliseconds(4600)));
-  EXPECT_EQ(registry.endpoints.at("a").item.state, endpoint_state::kSilent);
+  EXPECT_EQ(registry.endpoints.at("a").item.state,
+            endpoint_state::kUnresponsive);
   EXPECT_TRUE(ApplyHeartbeat(registry, Beat("a", 2), kStart + seconds(10)));
   EXPECT_EQ(registry.endpoints.at("a").item.state, endpoint_state::kReady);
   EXPECT_TRUE(ExpireEndpoints(registry, kStart + seconds(70)));
@@ -188,8 +189,8 @@
     ApplyHeartbeat(registry, BeatOfIncarnation(1000, ++sequence), now);
   }
   EXPECT_EQ(Listed(registry), IncarnationOf("a", 1000));
-  EXPECT_GE(now - kStart, 2 * registry.options.silent_after);
-  EXPECT_LE(now - kStart, 3 * registry.options.silent_after);
+  EXPECT_GE(now - kStart, 2 * registry.options.unresponsive_after);
+  EXPECT_LE(now - kStart, 3 * registry.options.unresponsive_after);
 }
 
 // Repetitions of one old heartbeat never prove that the older incarnation is
--- a/tests/unit/routing/endpoint_choice_test.cc
+++ b/tests/unit/routing/endpoint_choice_test.cc
@@ -94,7 +94,7 @@
 // The control group receives no heartbeats of an endpoint that callers can
 // still reach.
 TEST_F(EndpointChoiceTest, UnresponsiveEndpointIsTheLastResort) {
-  endpoints_[1].state = fleet::endpoint_state::kSilent;
+  endpoints_[1].state = fleet::endpoint_state::kUnresponsive;
   EXPECT_NE(Choose(), "in-b");
   excluded_ = {"in-a", "in-c"};
   EXPECT_EQ(Choose(), "in-b");
