--- a/packages/controller/controller.cc
+++ b/packages/controller/controller.cc
@@ -161,7 +161,7 @@
   settings::node_settings settings;
   net::connection_pool pool;
   fleet::endpoint_registry registry;
-  weight_book weights;
+  weight_table weights;
   control_state state;
   group::group_host group;
   peering::leader_caller stores_caller;
--- a/packages/controller/leader_service.cc
+++ b/packages/controller/leader_service.cc
@@ -37,7 +37,7 @@
 // quarantined requests: one round of requests and one call.
 constexpr milliseconds kWarningSyncTime{300};
 
-std::vector<fleet::engine_weights_entry> ListWeights(const weight_book& book) {
+std::vector<fleet::engine_weights_entry> ListWeights(const weight_table& book) {
   std::vector<fleet::engine_weights_entry> list;
   for (const auto& [incarnation, engine] : book.engines) {
     for (const auto& [model, version] : engine.versions) {
@@ -54,7 +54,7 @@
                                group::group_host& group,
                                const control_state& state,
                                fleet::endpoint_registry& registry,
-                               weight_book& weights,
+                               weight_table& weights,
                                peering::leader_caller& stores)
     : loop_(loop),
       clock_(clock),
--- a/packages/controller/leader_service.h
+++ b/packages/controller/leader_service.h
@@ -16,7 +16,7 @@
 #include "controller/control_state.h"
 #include "controller/heartbeat_memory.h"
 #include "controller/view_publisher.h"
-#include "controller/weight_book.h"
+#include "controller/weight_table.h"
 #include "core/clock.h"
 #include "fleet/endpoint_registry.h"
 #include "fleet/view.h"
@@ -32,7 +32,7 @@
   leader_service(boost::asio::io_context& loop,
                  const core::runtime_clock& clock, group::group_host& group,
                  const control_state& state, fleet::endpoint_registry& registry,
-                 weight_book& weights, peering::leader_caller& stores);
+                 weight_table& weights, peering::leader_caller& stores);
 
   void Start();
   boost::asio::awaitable<peering::envelope> Handle(std::string method,
@@ -84,7 +84,7 @@
   group::group_host& group_;
   const control_state& state_;
   fleet::endpoint_registry& registry_;
-  weight_book& weights_;
+  weight_table& weights_;
   peering::leader_caller& stores_caller_;
   quarantine::crash_ledger crashes_;
   view_publisher views_;
--- a/packages/controller/weight_keeper.cc
+++ b/packages/controller/weight_keeper.cc
@@ -51,7 +51,7 @@
                              net::connection_pool& pool,
                              const fleet::protocol& wire,
                              const fleet::endpoint_registry& registry,
-                             weight_book& book, weight_keeper_options options)
+                             weight_table& book, weight_keeper_options options)
     : loop_(loop),
       clock_(clock),
       group_(group),
--- a/packages/controller/weight_keeper.h
+++ b/packages/controller/weight_keeper.h
@@ -17,7 +17,7 @@
 #include <string>
 
 #include "controller/control_state.h"
-#include "controller/weight_book.h"
+#include "controller/weight_table.h"
 #include "core/clock.h"
 #include "fleet/endpoint_registry.h"
 #include "fleet/protocol.h"
@@ -39,7 +39,7 @@
   weight_keeper(boost::asio::io_context& loop, const core::runtime_clock& clock,
                 group::group_host& group, const control_state& state,
                 net::connection_pool& pool, const fleet::protocol& wire,
-                const fleet::endpoint_registry& registry, weight_book& book,
+                const fleet::endpoint_registry& registry, weight_table& book,
                 weight_keeper_options options);
 
   void Start();
@@ -76,7 +76,7 @@
   net::connection_pool& pool_;
   const fleet::protocol& wire_;
   const fleet::endpoint_registry& registry_;
-  weight_book& book_;
+  weight_table& book_;
   const weight_keeper_options options_;
   net::event wake_;
   std::set<std::string> loads_in_progress_;  // by incarnation
--- a/packages/controller/weight_book.cc
+++ b/packages/controller/weight_table.cc
@@ -1,4 +1,4 @@
-#include "controller/weight_book.h"
+#include "controller/weight_table.h"
 
 #include <algorithm>
 #include <cmath>
@@ -30,7 +30,7 @@
 // Lowest weight of a model, relative to a mean of 1.
 constexpr double kMinWeight = 0.4;
 
-size_t AssignmentsOf(const weight_book& book, const std::string& incarnation) {
+size_t AssignmentsOf(const weight_table& book, const std::string& incarnation) {
   size_t count = 0;
   for (const auto& item : book.assigned) {
     count += item.second.count(incarnation);
@@ -46,7 +46,7 @@
 }
 
 // Removes the engine with the oldest version from a chosen set.
-void RemoveMostOutdated(const weight_book& book, std::set<std::string>& chosen,
+void RemoveMostOutdated(const weight_table& book, std::set<std::string>& chosen,
                         const std::string& model) {
   const auto worst =
       std::min_element(chosen.begin(), chosen.end(),
@@ -60,7 +60,7 @@
 // Updates the set of engines that are assigned to a model. It adds engines that
 // have the fewest models assigned, and among these the ones with the newest
 // version.
-void Assign(weight_book& book, const load_plan_input& input,
+void Assign(weight_table& book, const load_plan_input& input,
             const std::string& model) {
   std::set<std::string>& chosen = book.assigned[model];
   std::erase_if(chosen, [&](const std::string& incarnation) {
@@ -99,7 +99,7 @@
 // Returns the loads to all assigned engines that the next step can't use, and
 // to as many of the others as half of the assigned engines need to have the
 // newest version.
-model_need NeedOf(const weight_book& book, const load_plan_input& input,
+model_need NeedOf(const weight_table& book, const load_plan_input& input,
                   const fleet::model_version& newest) {
   const std::set<std::string>& chosen = book.assigned.at(newest.model);
   model_need need;
@@ -185,7 +185,7 @@
                   std::max(kMinEnginesPerModel, std::min(affordable, doubled)));
 }
 
-bool RecordVersion(weight_book& book, const std::string& incarnation,
+bool RecordVersion(weight_table& book, const std::string& incarnation,
                    const std::string& model, uint64_t version) {
   uint64_t& recorded = book.engines[incarnation].versions[model];
   const bool is_newer = version > recorded;
@@ -193,7 +193,7 @@
   return is_newer;
 }
 
-std::optional<uint64_t> VersionAt(const weight_book& book,
+std::optional<uint64_t> VersionAt(const weight_table& book,
                                   const std::string& incarnation,
                                   const std::string& model) {
   const auto engine = book.engines.find(incarnation);
@@ -203,13 +203,13 @@
   return found->second;
 }
 
-bool IsLoading(const weight_book& book, const std::string& incarnation,
+bool IsLoading(const weight_table& book, const std::string& incarnation,
                const std::string& model) {
   const auto engine = book.engines.find(incarnation);
   return engine != book.engines.end() && engine->second.loading == model;
 }
 
-std::vector<planned_load> PlanLoads(weight_book& book,
+std::vector<planned_load> PlanLoads(weight_table& book,
                                     const load_plan_input& input) {
   std::vector<model_need> needs;
   for (const auto& [model, terms] : input.models) {
--- a/packages/controller/weight_book.h
+++ b/packages/controller/weight_table.h
@@ -1,5 +1,5 @@
-#ifndef HICKORYWOOD_CONTROLLER_WEIGHT_BOOK_H_
-#define HICKORYWOOD_CONTROLLER_WEIGHT_BOOK_H_
+#ifndef HICKORYWOOD_CONTROLLER_WEIGHT_TABLE_H_
+#define HICKORYWOOD_CONTROLLER_WEIGHT_TABLE_H_
 
 // The weights of each engine, and the choice of the loads to order. Plain data
 // and decisions; weight_keeper executes the loads.
@@ -22,7 +22,7 @@
   std::string loading;  // model of the load in progress; empty: none
 };
 
-struct weight_book {
+struct weight_table {
   std::map<std::string, engine_weights> engines;  // by incarnation
   // Engines that are kept up to date for a model. Other engines may serve it as
   // long as their version is recent enough.
@@ -35,15 +35,15 @@
 // Records a version that an engine reported. A version never decreases within
 // one incarnation, so a lower one comes from an older report. Returns true when
 // the version is higher than the recorded one.
-bool RecordVersion(weight_book& book, const std::string& incarnation,
+bool RecordVersion(weight_table& book, const std::string& incarnation,
                    const std::string& model, uint64_t version);
 
 // The version of a model at an engine; empty: none was reported.
-std::optional<uint64_t> VersionAt(const weight_book& book,
+std::optional<uint64_t> VersionAt(const weight_table& book,
                                   const std::string& incarnation,
                                   const std::string& model);
 
-bool IsLoading(const weight_book& book, const std::string& incarnation,
+bool IsLoading(const weight_table& book, const std::string& incarnation,
                const std::string& model);
 
 // One load that should be ordered now.
@@ -96,9 +96,9 @@
 // load this version, the other half the next one, and the half that is not
 // loading serves. When loads have to wait, the model goes first that has the
 // fewest engines that its next step can use, relative to its weight.
-std::vector<planned_load> PlanLoads(weight_book& book,
+std::vector<planned_load> PlanLoads(weight_table& book,
                                     const load_plan_input& input);
 
 }  // namespace hickorywood::controller
 
-#endif  // HICKORYWOOD_CONTROLLER_WEIGHT_BOOK_H_
+#endif  // HICKORYWOOD_CONTROLLER_WEIGHT_TABLE_H_
--- a/tests/unit/controller/weight_book_test.cc
+++ b/tests/unit/controller/weight_table_test.cc
@@ -1,4 +1,4 @@
-#include "controller/weight_book.h"
+#include "controller/weight_table.h"
 
 #include <gtest/gtest.h>
 
@@ -20,7 +20,7 @@
   return input;
 }
 
-void SetAll(weight_book& book, const load_plan_input& input,
+void SetAll(weight_table& book, const load_plan_input& input,
             const std::string& model, uint64_t version) {
   for (const plannable_engine& engine : input.engines) {
     RecordVersion(book, engine.incarnation, model, version);
@@ -28,7 +28,7 @@
 }
 
 // Plans and completes loads until none is left. Returns their number.
-size_t LoadAll(weight_book& book, const load_plan_input& input) {
+size_t LoadAll(weight_table& book, const load_plan_input& input) {
   size_t loads = 0;
   for (;;) {
     const std::vector<planned_load> plan = PlanLoads(book, input);
@@ -41,8 +41,8 @@
   }
 }
 
-TEST(WeightBookTest, VersionsNeverDecrease) {
-  weight_book book;
+TEST(WeightTableTest, VersionsNeverDecrease) {
+  weight_table book;
   EXPECT_TRUE(RecordVersion(book, "e", "m", 3));
   EXPECT_FALSE(RecordVersion(book, "e", "m", 2));
   EXPECT_EQ(VersionAt(book, "e", "m"), 3U);
@@ -52,8 +52,8 @@
 // One trainer, nine engines, a version every few seconds; a step accepts the
 // newest version and the previous one. Half of the engines load each version,
 // and every engine always has a version that the next step accepts.
-TEST(WeightBookTest, HalvesTakeTurns) {
-  weight_book book;
+TEST(WeightTableTest, HalvesTakeTurns) {
+  weight_table book;
   load_plan_input input = Engines(9);
   SetAll(book, input, "m", 1);
   for (uint64_t version = 2; version < 20; ++version) {
@@ -69,7 +69,7 @@
 // Three trainers on nine engines; a load takes 1 s and two run at a time. When
 // versions are published faster than all engines can load them, fewer engines
 // are kept up to date.
-TEST(WeightBookTest, LoadsFitIntoThePeriod) {
+TEST(WeightTableTest, LoadsFitIntoThePeriod) {
   load_plan_input input = Engines(9);
   input.models = {{"a", {2}}, {"b", {2}}, {"c", {2}}};
   EXPECT_EQ(EnginesPerModel(input, milliseconds(4000)), 6U);
@@ -82,8 +82,8 @@
 
 // When loads have to wait, the model whose next step can use the fewest engines
 // goes first, independent of its name.
-TEST(WeightBookTest, ModelWithFewestUsableEnginesGoesFirst) {
-  weight_book book;
+TEST(WeightTableTest, ModelWithFewestUsableEnginesGoesFirst) {
+  weight_table book;
   load_plan_input input = Engines(9);
   input.models = {{"a", {5}}, {"b", {5}}};
   SetAll(book, input, "a", 4);
@@ -99,8 +99,8 @@
 // models take turns. Guards against an order by name, with which the steps of
 // one model waited for 11 s while the others, whose names sort first, were
 // updated twice.
-TEST(WeightBookTest, ModelsTakeTurnsWhenAllAreOutdated) {
-  weight_book book;
+TEST(WeightTableTest, ModelsTakeTurnsWhenAllAreOutdated) {
+  weight_table book;
   load_plan_input input = Engines(9);
   input.models = {{"a", {5}}, {"b", {5}}, {"c", {5}}};
   for (const char* model : {"a", "b", "c"}) SetAll(book, input, model, 3);
@@ -118,8 +118,8 @@
 // Three trainers, with enough time for all loads. Each model is kept up to date
 // on six of nine engines, so that a version costs three loads, a third of the
 // engines.
-TEST(WeightBookTest, ModelsShareTheEngines) {
-  weight_book book;
+TEST(WeightTableTest, ModelsShareTheEngines) {
+  weight_table book;
   load_plan_input input = Engines(9);
   for (const char* model : {"a", "b", "c"}) SetAll(book, input, model, 1);
   size_t loads = 0;
@@ -136,8 +136,8 @@
 // One model has four times the work of the other, and the loader is overloaded.
 // The engines are shared by demand, and the small model keeps enough engines
 // for a crash.
-TEST(WeightBookTest, LoadsFollowTheDemand) {
-  weight_book book;
+TEST(WeightTableTest, LoadsFollowTheDemand) {
+  weight_table book;
   load_plan_input input = Engines(12);
   const auto weights =
       WeightsOf({"large", "small"}, {{"large", 32}, {"small", 8}});
@@ -164,7 +164,7 @@
 
 // No demand was reported, or only that of one model: all models have the same
 // weight, or the model without a demand has the mean weight.
-TEST(WeightBookTest, UnknownDemandCountsAsTheMean) {
+TEST(WeightTableTest, UnknownDemandCountsAsTheMean) {
   const auto none = WeightsOf({"a", "b"}, {});
   EXPECT_EQ(none.at("a"), 1);
   EXPECT_EQ(none.at("b"), 1);
@@ -178,8 +178,8 @@
 
 // Loads share the link to the weight store: few run at once, and each engine
 // has at most one.
-TEST(WeightBookTest, FewLoadsAtOnce) {
-  weight_book book;
+TEST(WeightTableTest, FewLoadsAtOnce) {
+  weight_table book;
   load_plan_input input = Engines(9);
   input.models = {{"a", {9}}, {"b", {9}}};
   EXPECT_EQ(PlanLoads(book, input).size(), 2U);
@@ -194,8 +194,8 @@
 
 // An engine terminates and a new one joins. The others keep their models, and
 // the new one takes over the free assignments.
-TEST(WeightBookTest, LostEngineIsReplaced) {
-  weight_book book;
+TEST(WeightTableTest, LostEngineIsReplaced) {
+  weight_table book;
   load_plan_input input = Engines(9);
   input.models = {{"a", {2}}, {"b", {2}}, {"c", {2}}};
   LoadAll(book, input);
