--- a/packages/controller/controller.cc
+++ b/packages/controller/controller.cc
@@ -8,7 +8,7 @@
 #include "controller/control_api.h"
 #include "controller/heartbeat_relay.h"
 #include "controller/leader_service.h"
-#include "controller/weight_keeper.h"
+#include "controller/weight_load_scheduler.h"
 #include "core/events.h"
 #include "group/group_host.h"
 #include "net/connection_pool.h"
@@ -43,8 +43,9 @@
 // Voters of the control group. Five tolerate the loss of two.
 constexpr size_t kVoters = 5;
 
-weight_keeper_options KeeperOptions(const settings::node_settings& settings) {
-  weight_keeper_options options;
+weight_load_scheduler_options KeeperOptions(
+    const settings::node_settings& settings) {
+  weight_load_scheduler_options options;
   options.holder = settings.id;
   options.holder_lease = settings.holder_lease;
   return options;
@@ -166,7 +167,7 @@
   group::group_host group;
   peering::leader_caller stores_caller;
   leader_service service;
-  weight_keeper keeper;
+  weight_load_scheduler keeper;
   peering::leader_caller caller;
   peering::view_follower follower;
   heartbeat_relay heartbeats;
--- a/packages/controller/weight_keeper.cc
+++ b/packages/controller/weight_load_scheduler.cc
@@ -1,4 +1,4 @@
-#include "controller/weight_keeper.h"
+#include "controller/weight_load_scheduler.h"
 
 #include <algorithm>
 #include <boost/asio/co_spawn.hpp>
@@ -44,14 +44,12 @@
 
 }  // namespace
 
-weight_keeper::weight_keeper(asio::io_context& loop,
-                             const core::runtime_clock& clock,
-                             group::group_host& group,
-                             const control_state& state,
-                             net::connection_pool& pool,
-                             const fleet::protocol& wire,
-                             const fleet::endpoint_registry& registry,
-                             weight_table& book, weight_keeper_options options)
+weight_load_scheduler::weight_load_scheduler(
+    asio::io_context& loop, const core::runtime_clock& clock,
+    group::group_host& group, const control_state& state,
+    net::connection_pool& pool, const fleet::protocol& wire,
+    const fleet::endpoint_registry& registry, weight_table& book,
+    weight_load_scheduler_options options)
     : loop_(loop),
       clock_(clock),
       group_(group),
@@ -62,17 +60,17 @@
       book_(book),
       options_(std::move(options)) {}
 
-void weight_keeper::Start() {
+void weight_load_scheduler::Start() {
   asio::co_spawn(loop_, RunPlanLoop(), asio::detached);
 }
 
-bool weight_keeper::MayOrder() const {
+bool weight_load_scheduler::MayOrder() const {
   return group_.IsServing() &&
          clock_.Now() - group_.ElectedAt() >= options_.holder_lease;
 }
 
 // Updates the average time between two versions of each model.
-void weight_keeper::RecordPublications() {
+void weight_load_scheduler::RecordPublications() {
   const time_point now = clock_.Now();
   for (const auto& [model, version] : state_.Versions()) {
     publication& latest = publications_[model];
@@ -89,7 +87,7 @@
   }
 }
 
-awaitable<void> weight_keeper::RunPlanLoop() {
+awaitable<void> weight_load_scheduler::RunPlanLoop() {
   for (;;) {
     const bool is_idle = state_.Versions().empty() || !MayOrder();
     co_await wake_.WaitUntil(clock_.Now() +
@@ -102,7 +100,7 @@
   }
 }
 
-void weight_keeper::PlanService(const fleet::service& service) {
+void weight_load_scheduler::PlanService(const fleet::service& service) {
   load_plan_input input;
   const std::map<std::string, double> weights =
       WeightsOf(service.engine.models, book_.demands);
@@ -138,7 +136,7 @@
   for (const planned_load& load : PlanLoads(book_, input)) StartLoad(load);
 }
 
-void weight_keeper::StartLoad(const planned_load& load) {
+void weight_load_scheduler::StartLoad(const planned_load& load) {
   const fleet::endpoint target = registry_.endpoints.at(load.incarnation).item;
   loads_in_progress_.insert(load.incarnation);
   book_.engines[load.incarnation].loading = load.target.model;
@@ -171,7 +169,7 @@
       });
 }
 
-awaitable<weight_keeper::load_outcome> weight_keeper::Load(
+awaitable<weight_load_scheduler::load_outcome> weight_load_scheduler::Load(
     planned_load load, fleet::endpoint target) {
   const auto before = co_await Report(target);
   if (!before) co_return load_outcome::kUnreachable;
@@ -210,7 +208,7 @@
   co_return load_outcome::kRetryLater;
 }
 
-awaitable<std::optional<fleet::endpoint_report>> weight_keeper::Report(
+awaitable<std::optional<fleet::endpoint_report>> weight_load_scheduler::Report(
     const fleet::endpoint& target) {
   net::call_options options;
   options.connect_deadline = clock_.Now() + kCallTimeout;
@@ -228,7 +226,7 @@
   co_return report;
 }
 
-awaitable<std::optional<fleet::order_outcome>> weight_keeper::Order(
+awaitable<std::optional<fleet::order_outcome>> weight_load_scheduler::Order(
     const planned_load& load, const fleet::endpoint& target,
     uint64_t expected_sequence) {
   fleet::load_order order;
@@ -259,8 +257,8 @@
   co_return outcome;
 }
 
-void weight_keeper::RecordReport(const planned_load& load,
-                                 const fleet::endpoint_report& report) {
+void weight_load_scheduler::RecordReport(const planned_load& load,
+                                         const fleet::endpoint_report& report) {
   for (const fleet::model_version& item : report.models) {
     RecordVersion(book_, load.incarnation, item.model, item.version);
   }
--- a/packages/controller/weight_keeper.h
+++ b/packages/controller/weight_load_scheduler.h
@@ -1,5 +1,5 @@
-#ifndef HICKORYWOOD_CONTROLLER_WEIGHT_KEEPER_H_
-#define HICKORYWOOD_CONTROLLER_WEIGHT_KEEPER_H_
+#ifndef HICKORYWOOD_CONTROLLER_WEIGHT_LOAD_SCHEDULER_H_
+#define HICKORYWOOD_CONTROLLER_WEIGHT_LOAD_SCHEDULER_H_
 
 // Orders the loads that bring the engines to the published versions, while this
 // instance leads. Each order contains the term of the leader as its fencing
@@ -27,20 +27,22 @@
 
 namespace hickorywood::controller {
 
-struct weight_keeper_options {
+struct weight_load_scheduler_options {
   std::string holder;  // name of this instance in orders
   // Time between an election and the first order. Orders of two leaders that
   // both reach an engine must not alternate within it.
   std::chrono::milliseconds holder_lease{3000};
 };
 
-class weight_keeper {
+class weight_load_scheduler {
  public:
-  weight_keeper(boost::asio::io_context& loop, const core::runtime_clock& clock,
-                group::group_host& group, const control_state& state,
-                net::connection_pool& pool, const fleet::protocol& wire,
-                const fleet::endpoint_registry& registry, weight_table& book,
-                weight_keeper_options options);
+  weight_load_scheduler(boost::asio::io_context& loop,
+                        const core::runtime_clock& clock,
+                        group::group_host& group, const control_state& state,
+                        net::connection_pool& pool, const fleet::protocol& wire,
+                        const fleet::endpoint_registry& registry,
+                        weight_table& book,
+                        weight_load_scheduler_options options);
 
   void Start();
   // Triggers a planning round. Called when a version was published, an endpoint
@@ -77,7 +79,7 @@
   const fleet::protocol& wire_;
   const fleet::endpoint_registry& registry_;
   weight_table& book_;
-  const weight_keeper_options options_;
+  const weight_load_scheduler_options options_;
   net::event wake_;
   std::set<std::string> loads_in_progress_;  // by incarnation
   struct publication {
@@ -93,4 +95,4 @@
 
 }  // namespace hickorywood::controller
 
-#endif  // HICKORYWOOD_CONTROLLER_WEIGHT_KEEPER_H_
+#endif  // HICKORYWOOD_CONTROLLER_WEIGHT_LOAD_SCHEDULER_H_
--- a/packages/controller/weight_table.h
+++ b/packages/controller/weight_table.h
@@ -2,7 +2,7 @@
 #define HICKORYWOOD_CONTROLLER_WEIGHT_TABLE_H_
 
 // The weights of each engine, and the choice of the loads to order. Plain data
-// and decisions; weight_keeper executes the loads.
+// and decisions; weight_load_scheduler executes the loads.
 
 #include <chrono>
 #include <cstdint>
