--- a/packages/controller/heartbeat_memory.cc
+++ b/packages/controller/heartbeat_cache.cc
@@ -1,4 +1,4 @@
-#include "controller/heartbeat_memory.h"
+#include "controller/heartbeat_cache.h"
 
 namespace hickorywood::controller {
 namespace {
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-bool AcceptIfUnchanged(heartbeat_memory& cache, const fleet::heartbeat& input,
+bool AcceptIfUnchanged(heartbeat_cache& cache, const fleet::heartbeat& input,
                        core::time_point now) {
   const bool is_leader_reachable =
       cache.last_reply_at != core::time_point::min() &&
@@ -41,8 +41,7 @@
   return true;
 }
 
-std::vector<fleet::heartbeat_refresh> ExtractRefreshes(
-    heartbeat_memory& cache) {
+std::vector<fleet::heartbeat_refresh> ExtractRefreshes(heartbeat_cache& cache) {
   std::vector<fleet::heartbeat_refresh> list;
   list.reserve(cache.refreshes.size());
   for (const auto& [incarnation, sequence] : cache.refreshes) {
@@ -52,7 +51,7 @@
   return list;
 }
 
-void ApplyBatchAnswer(heartbeat_memory& cache, const heartbeat_batch& batch,
+void ApplyBatchAnswer(heartbeat_cache& cache, const heartbeat_batch& batch,
                       const heartbeat_batch_answer& answer,
                       core::time_point now) {
   // A late reply of a previous leader.
@@ -78,7 +77,7 @@
   }
 }
 
-void EvictExpired(heartbeat_memory& cache, core::time_point now) {
+void EvictExpired(heartbeat_cache& cache, core::time_point now) {
   std::erase_if(cache.accepted, [now](const auto& item) {
     return now - item.second.received_at > kEntryLifetime;
   });
--- a/packages/controller/heartbeat_memory.h
+++ b/packages/controller/heartbeat_cache.h
@@ -1,5 +1,5 @@
-#ifndef HICKORYWOOD_CONTROLLER_HEARTBEAT_MEMORY_H_
-#define HICKORYWOOD_CONTROLLER_HEARTBEAT_MEMORY_H_
+#ifndef HICKORYWOOD_CONTROLLER_HEARTBEAT_CACHE_H_
+#define HICKORYWOOD_CONTROLLER_HEARTBEAT_CACHE_H_
 
 // The heartbeats that the leader accepted through this control instance. A
 // heartbeat that changes nothing but its sequence is acknowledged at once, and
@@ -34,7 +34,7 @@
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(heartbeat_batch_answer, term,
                                                 refusals, unknown)
 
-struct heartbeat_memory {
+struct heartbeat_cache {
   uint64_t term = 0;  // of the leader that accepted all entries
   // When the leader last replied; min(): never.
   core::time_point last_reply_at = core::time_point::min();
@@ -51,20 +51,20 @@
 // Accepts a heartbeat that equals the latest one but for a higher sequence,
 // provided that the leader replied recently. Returns false when the heartbeat
 // must be sent to the leader.
-bool AcceptIfUnchanged(heartbeat_memory& cache, const fleet::heartbeat& input,
+bool AcceptIfUnchanged(heartbeat_cache& cache, const fleet::heartbeat& input,
                        core::time_point now);
 
 // Removes the pending refreshes and returns them.
-std::vector<fleet::heartbeat_refresh> ExtractRefreshes(heartbeat_memory& cache);
+std::vector<fleet::heartbeat_refresh> ExtractRefreshes(heartbeat_cache& cache);
 
 // Updates the entries from the leader's reply to a batch.
-void ApplyBatchAnswer(heartbeat_memory& cache, const heartbeat_batch& batch,
+void ApplyBatchAnswer(heartbeat_cache& cache, const heartbeat_batch& batch,
                       const heartbeat_batch_answer& answer,
                       core::time_point now);
 
 // Removes endpoints that have sent no heartbeat to this instance for a while.
-void EvictExpired(heartbeat_memory& cache, core::time_point now);
+void EvictExpired(heartbeat_cache& cache, core::time_point now);
 
 }  // namespace hickorywood::controller
 
-#endif  // HICKORYWOOD_CONTROLLER_HEARTBEAT_MEMORY_H_
+#endif  // HICKORYWOOD_CONTROLLER_HEARTBEAT_CACHE_H_
--- a/packages/controller/heartbeat_relay.h
+++ b/packages/controller/heartbeat_relay.h
@@ -9,7 +9,7 @@
 #include <memory>
 #include <vector>
 
-#include "controller/heartbeat_memory.h"
+#include "controller/heartbeat_cache.h"
 #include "core/clock.h"
 #include "net/event.h"
 #include "peering/leader_caller.h"
@@ -41,7 +41,7 @@
   boost::asio::io_context& loop_;
   const core::runtime_clock& clock_;
   peering::leader_caller& caller_;
-  heartbeat_memory cache_;
+  heartbeat_cache cache_;
   std::vector<waiting_heartbeat> queue_;
   core::time_point refreshed_at_{};
   net::event filled_;
--- a/packages/controller/leader_service.h
+++ b/packages/controller/leader_service.h
@@ -14,7 +14,7 @@
 #include <vector>
 
 #include "controller/control_state.h"
-#include "controller/heartbeat_memory.h"
+#include "controller/heartbeat_cache.h"
 #include "controller/view_publisher.h"
 #include "controller/weight_table.h"
 #include "core/clock.h"
--- a/tests/unit/controller/heartbeat_relay_test.cc
+++ b/tests/unit/controller/heartbeat_relay_test.cc
@@ -28,8 +28,8 @@
 
 // Returns a cache whose leader of `term` accepted the first heartbeat of
 // endpoint 1.
-heartbeat_memory MakeCache(uint64_t term = 1) {
-  heartbeat_memory cache;
+heartbeat_cache MakeCache(uint64_t term = 1) {
+  heartbeat_cache cache;
   heartbeat_batch batch;
   batch.heartbeats = {MakeHeartbeat(1, 5)};
   heartbeat_batch_answer answer;
@@ -39,8 +39,8 @@
   return cache;
 }
 
-TEST(HeartbeatMemoryTest, UnchangedHeartbeatIsAcceptedLocally) {
-  heartbeat_memory cache = MakeCache();
+TEST(HeartbeatCacheTest, UnchangedHeartbeatIsAcceptedLocally) {
+  heartbeat_cache cache = MakeCache();
   EXPECT_TRUE(AcceptIfUnchanged(cache, MakeHeartbeat(1, 6), kStart));
   EXPECT_TRUE(AcceptIfUnchanged(cache, MakeHeartbeat(1, 7), kStart));
   const auto refreshes = ExtractRefreshes(cache);
@@ -51,8 +51,8 @@
 
 // Guards against acknowledging a draining endpoint before the leader has
 // received the heartbeat: entries would still send requests to it.
-TEST(HeartbeatMemoryTest, ChangedHeartbeatIsSentToTheLeader) {
-  heartbeat_memory cache = MakeCache();
+TEST(HeartbeatCacheTest, ChangedHeartbeatIsSentToTheLeader) {
+  heartbeat_cache cache = MakeCache();
   fleet::heartbeat leaving = MakeHeartbeat(1, 6);
   leaving.is_draining = true;
   EXPECT_FALSE(AcceptIfUnchanged(cache, leaving, kStart));
@@ -63,8 +63,8 @@
 }
 
 // A heartbeat was delayed in transit and arrives after later ones.
-TEST(HeartbeatMemoryTest, OlderHeartbeatIsSentToTheLeader) {
-  heartbeat_memory cache = MakeCache();
+TEST(HeartbeatCacheTest, OlderHeartbeatIsSentToTheLeader) {
+  heartbeat_cache cache = MakeCache();
   EXPECT_FALSE(AcceptIfUnchanged(cache, MakeHeartbeat(1, 5), kStart));
   EXPECT_FALSE(AcceptIfUnchanged(cache, MakeHeartbeat(1, 4), kStart));
 }
@@ -72,16 +72,16 @@
 // This instance is disconnected from the leader, or its process was suspended.
 // Heartbeats that it acknowledged then would not reach the leader, which would
 // mark a live endpoint as unresponsive.
-TEST(HeartbeatMemoryTest, NothingIsAcceptedWithoutLeaderContact) {
-  heartbeat_memory cache = MakeCache();
+TEST(HeartbeatCacheTest, NothingIsAcceptedWithoutLeaderContact) {
+  heartbeat_cache cache = MakeCache();
   EXPECT_FALSE(
       AcceptIfUnchanged(cache, MakeHeartbeat(1, 6), kStart + seconds(2)));
 }
 
 // The leader crashes. Its successor has no weight versions of any engine until
 // it receives complete heartbeats.
-TEST(HeartbeatMemoryTest, NewLeaderReceivesCompleteHeartbeats) {
-  heartbeat_memory cache = MakeCache(1);
+TEST(HeartbeatCacheTest, NewLeaderReceivesCompleteHeartbeats) {
+  heartbeat_cache cache = MakeCache(1);
   ASSERT_TRUE(AcceptIfUnchanged(cache, MakeHeartbeat(1, 6), kStart));
   heartbeat_batch_answer answer;
   answer.term = 2;
@@ -98,8 +98,8 @@
 
 // The leader has removed the endpoint, since another endpoint has its address
 // now.
-TEST(HeartbeatMemoryTest, UnknownIncarnationIsSentCompletely) {
-  heartbeat_memory cache = MakeCache();
+TEST(HeartbeatCacheTest, UnknownIncarnationIsSentCompletely) {
+  heartbeat_cache cache = MakeCache();
   heartbeat_batch_answer answer;
   answer.term = 1;
   answer.unknown = {"i-1"};
@@ -107,8 +107,8 @@
   EXPECT_FALSE(AcceptIfUnchanged(cache, MakeHeartbeat(1, 6), kStart));
 }
 
-TEST(HeartbeatMemoryTest, RejectedHeartbeatIsNotCached) {
-  heartbeat_memory cache;
+TEST(HeartbeatCacheTest, RejectedHeartbeatIsNotCached) {
+  heartbeat_cache cache;
   heartbeat_batch batch;
   batch.heartbeats = {MakeHeartbeat(1, 1)};
   heartbeat_batch_answer answer;
@@ -118,8 +118,8 @@
   EXPECT_FALSE(AcceptIfUnchanged(cache, MakeHeartbeat(1, 2), kStart));
 }
 
-TEST(HeartbeatMemoryTest, EndpointsOfOtherInstancesAreEvicted) {
-  heartbeat_memory cache = MakeCache();
+TEST(HeartbeatCacheTest, EndpointsOfOtherInstancesAreEvicted) {
+  heartbeat_cache cache = MakeCache();
   EvictExpired(cache, kStart + seconds(30));
   EXPECT_EQ(cache.accepted.size(), 1U);
   EvictExpired(cache, kStart + seconds(61));
