--- a/packages/controller/control_api.cc
+++ b/packages/controller/control_api.cc
@@ -24,7 +24,7 @@
 
 control_api::control_api(const fleet::protocol& wire,
                          peering::leader_caller& caller,
-                         heartbeat_relay& heartbeats)
+                         heartbeat_forwarder& heartbeats)
     : wire_(wire), caller_(caller), heartbeats_(heartbeats) {}
 
 awaitable<void> control_api::Serve(net::exchange& call) {
--- a/packages/controller/control_api.h
+++ b/packages/controller/control_api.h
@@ -7,7 +7,7 @@
 #include <boost/asio/awaitable.hpp>
 #include <string>
 
-#include "controller/heartbeat_relay.h"
+#include "controller/heartbeat_forwarder.h"
 #include "fleet/protocol.h"
 #include "net/listener.h"
 #include "peering/leader_caller.h"
@@ -17,7 +17,7 @@
 class control_api {
  public:
   control_api(const fleet::protocol& wire, peering::leader_caller& caller,
-              heartbeat_relay& heartbeats);
+              heartbeat_forwarder& heartbeats);
 
   boost::asio::awaitable<void> Serve(net::exchange& call);
 
@@ -33,7 +33,7 @@
 
   const fleet::protocol& wire_;
   peering::leader_caller& caller_;
-  heartbeat_relay& heartbeats_;
+  heartbeat_forwarder& heartbeats_;
 };
 
 }  // namespace hickorywood::controller
--- a/packages/controller/controller.cc
+++ b/packages/controller/controller.cc
@@ -6,7 +6,7 @@
 #include <utility>
 
 #include "controller/control_api.h"
-#include "controller/heartbeat_relay.h"
+#include "controller/heartbeat_forwarder.h"
 #include "controller/leader_service.h"
 #include "controller/weight_load_scheduler.h"
 #include "core/events.h"
@@ -170,7 +170,7 @@
   weight_load_scheduler keeper;
   peering::leader_caller caller;
   peering::view_follower follower;
-  heartbeat_relay heartbeats;
+  heartbeat_forwarder heartbeats;
   control_api api;
   net::listener peers;
   net::listener control;
--- a/packages/controller/heartbeat_relay.cc
+++ b/packages/controller/heartbeat_forwarder.cc
@@ -1,4 +1,4 @@
-#include "controller/heartbeat_relay.h"
+#include "controller/heartbeat_forwarder.h"
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -31,16 +31,16 @@
 
 }  // namespace
 
-heartbeat_relay::heartbeat_relay(asio::io_context& loop,
-                                 const core::runtime_clock& clock,
-                                 peering::leader_caller& caller)
+heartbeat_forwarder::heartbeat_forwarder(asio::io_context& loop,
+                                         const core::runtime_clock& clock,
+                                         peering::leader_caller& caller)
     : loop_(loop), clock_(clock), caller_(caller) {}
 
-void heartbeat_relay::Start() {
+void heartbeat_forwarder::Start() {
   asio::co_spawn(loop_, RunForwardLoop(), asio::detached);
 }
 
-awaitable<envelope> heartbeat_relay::Forward(fleet::heartbeat input) {
+awaitable<envelope> heartbeat_forwarder::Forward(fleet::heartbeat input) {
   envelope answer;
   if (AcceptIfUnchanged(cache_, input, clock_.Now())) {
     if (cache_.refreshes.size() == 1) filled_.Notify();
@@ -61,12 +61,12 @@
   co_return answer;
 }
 
-bool heartbeat_relay::IsRefreshDue() const {
+bool heartbeat_forwarder::IsRefreshDue() const {
   return !cache_.refreshes.empty() &&
          clock_.Now() >= refreshed_at_ + kRefreshPeriod;
 }
 
-awaitable<void> heartbeat_relay::RunForwardLoop() {
+awaitable<void> heartbeat_forwarder::RunForwardLoop() {
   for (;;) {
     if (queue_.empty() && !IsRefreshDue()) {
       co_await filled_.WaitUntil(cache_.refreshes.empty()
@@ -82,7 +82,8 @@
 
 // A batch that the leader did not accept is not retried: its endpoints switch
 // to another instance or send their next heartbeat soon.
-awaitable<void> heartbeat_relay::Send(std::vector<waiting_heartbeat> waiting) {
+awaitable<void> heartbeat_forwarder::Send(
+    std::vector<waiting_heartbeat> waiting) {
   heartbeat_batch batch;
   for (const waiting_heartbeat& item : waiting) {
     batch.heartbeats.push_back(item.input);
--- a/packages/controller/heartbeat_relay.h
+++ b/packages/controller/heartbeat_forwarder.h
@@ -1,5 +1,5 @@
-#ifndef HICKORYWOOD_CONTROLLER_HEARTBEAT_RELAY_H_
-#define HICKORYWOOD_CONTROLLER_HEARTBEAT_RELAY_H_
+#ifndef HICKORYWOOD_CONTROLLER_HEARTBEAT_FORWARDER_H_
+#define HICKORYWOOD_CONTROLLER_HEARTBEAT_FORWARDER_H_
 
 // Forwards the heartbeats that this instance receives to the control leader,
 // several in one call.
@@ -17,11 +17,11 @@
 
 namespace hickorywood::controller {
 
-class heartbeat_relay {
+class heartbeat_forwarder {
  public:
-  heartbeat_relay(boost::asio::io_context& loop,
-                  const core::runtime_clock& clock,
-                  peering::leader_caller& caller);
+  heartbeat_forwarder(boost::asio::io_context& loop,
+                      const core::runtime_clock& clock,
+                      peering::leader_caller& caller);
 
   void Start();
   // Returns kDone once the leader has accepted the heartbeat, or at once if it
@@ -49,4 +49,4 @@
 
 }  // namespace hickorywood::controller
 
-#endif  // HICKORYWOOD_CONTROLLER_HEARTBEAT_RELAY_H_
+#endif  // HICKORYWOOD_CONTROLLER_HEARTBEAT_FORWARDER_H_
--- a/tests/unit/controller/heartbeat_relay_test.cc
+++ b/tests/unit/controller/heartbeat_forwarder_test.cc
@@ -1,4 +1,4 @@
-#include "controller/heartbeat_relay.h"
+#include "controller/heartbeat_forwarder.h"
 
 #include <gtest/gtest.h>
 
@@ -128,9 +128,9 @@
 
 // Runs a local leader that counts the calls, heartbeats and refreshes that it
 // receives.
-class HeartbeatRelayTest : public ::testing::Test {
+class HeartbeatForwarderTest : public ::testing::Test {
  protected:
-  HeartbeatRelayTest()
+  HeartbeatForwarderTest()
       : pool(loop), caller(pool, {}), relay(loop, clock, caller) {
     caller.ServeLocally("here",
                         [this](std::string method, std::string payload)
@@ -171,7 +171,7 @@
   core::runtime_clock clock;
   net::connection_pool pool;
   peering::leader_caller caller;
-  heartbeat_relay relay;
+  heartbeat_forwarder relay;
   size_t calls = 0;
   size_t heartbeats = 0;
   size_t refreshes = 0;
@@ -180,7 +180,7 @@
 // A thousand endpoints send a first and a second heartbeat. The leader receives
 // the first ones in a few calls, and the second ones as refreshes in a few
 // calls.
-TEST_F(HeartbeatRelayTest, ManyHeartbeatsTakeFewCalls) {
+TEST_F(HeartbeatForwarderTest, ManyHeartbeatsTakeFewCalls) {
   constexpr int kEndpoints = 1000;
   Report(kEndpoints, 1);
   EXPECT_EQ(heartbeats, static_cast<size_t>(kEndpoints));
