--- a/packages/controller/controller.cc
+++ b/packages/controller/controller.cc
@@ -113,7 +113,7 @@
     };
     group.on_failure = [this] { loop.stop(); };
     service.on_endpoints = [this] { keeper.Wake(); };
-    keeper.on_change = [this] { service.NoteWeightsChanged(); };
+    keeper.on_change = [this] { service.OnWeightsChanged(); };
     follower.OnChange([this] {
       stores_caller.SetControllers(peering::StoreAddresses(follower.View()));
       group.SetContacts(Contacts());
--- a/packages/controller/leader_service.cc
+++ b/packages/controller/leader_service.cc
@@ -79,10 +79,10 @@
     co_return co_await GetView(std::move(payload));
   }
   if (method == peering::kHeartbeatsMethod) {
-    co_return co_await TakeHeartbeats(std::move(payload));
+    co_return co_await HandleHeartbeats(std::move(payload));
   }
   if (method == peering::kLeaveMethod) {
-    co_return co_await TakeLeave(std::move(payload));
+    co_return co_await HandleLeave(std::move(payload));
   }
   if (method == peering::kPutConfigurationMethod) {
     co_return co_await PutConfiguration(std::move(payload));
@@ -94,7 +94,7 @@
     co_return co_await PublishVersion(std::move(payload));
   }
   if (method == peering::kCrashUpdateMethod) {
-    co_return co_await TakeCrashNews(std::move(payload));
+    co_return co_await HandleCrashUpdate(std::move(payload));
   }
   if (method == peering::kWarningsMethod) {
     peering::warning_list held{quarantine::ListWarnings(crashes_)};
@@ -183,17 +183,17 @@
   views_.OnMembersChanged();
 }
 
-void leader_service::NoteEndpointsChanged() {
+void leader_service::OnEndpointsChanged() {
   views_.OnEndpointsChanged();
   if (on_endpoints) on_endpoints();
 }
 
-void leader_service::NoteWeightsChanged() { views_.OnWeightsChanged(); }
+void leader_service::OnWeightsChanged() { views_.OnWeightsChanged(); }
 
 awaitable<envelope> leader_service::GetView(std::string payload) {
   const auto input = core::DecodeBinary<fleet::view_request>(payload);
   if (!input) co_return Malformed();
-  NoteStore(*input);
+  RecordStore(*input);
   for (const fleet::model_demand& item : input->demands) {
     weights_.demands[item.model] = item.streams;
   }
@@ -213,13 +213,13 @@
              [&name](const fleet::service& item) { return item.name == name; });
 }
 
-awaitable<envelope> leader_service::TakeHeartbeats(std::string payload) {
+awaitable<envelope> leader_service::HandleHeartbeats(std::string payload) {
   const auto input = core::DecodeBinary<heartbeat_batch>(payload);
   if (!input) co_return Malformed();
   heartbeat_batch_answer answer;
   answer.term = group_.Term();
   for (const fleet::heartbeat& item : input->heartbeats) {
-    answer.refusals.push_back(TakeHeartbeat(item));
+    answer.refusals.push_back(AcceptHeartbeat(item));
   }
   for (const fleet::heartbeat_refresh& item : input->refreshes) {
     const bool is_known = fleet::ApplyRefresh(registry_, item, clock_.Now());
@@ -230,7 +230,7 @@
 
 // Returns the reason for which the heartbeat is rejected; empty: it is
 // accepted.
-std::string leader_service::TakeHeartbeat(const fleet::heartbeat& input) {
+std::string leader_service::AcceptHeartbeat(const fleet::heartbeat& input) {
   const std::string incarnation =
       fleet::IncarnationOf(input.name, input.started_ms);
   const bool is_new = registry_.endpoints.count(incarnation) == 0;
@@ -249,7 +249,7 @@
     if (!is_listed) break;
     is_newer |= RecordVersion(weights_, incarnation, item.model, item.version);
   }
-  if (is_newer) NoteWeightsChanged();
+  if (is_newer) OnWeightsChanged();
   if (is_changed) {
     LogEvent(is_new ? event_id::kEndpointJoined : event_id::kEndpointChanged,
              {{"endpoint", incarnation},
@@ -258,19 +258,19 @@
               {"zone", input.zone},
               {"draining", input.is_draining ? "true" : "false"},
               {"sequence", std::to_string(input.sequence)}});
-    NoteEndpointsChanged();
+    OnEndpointsChanged();
   }
   return "";
 }
 
-awaitable<envelope> leader_service::TakeLeave(std::string payload) {
+awaitable<envelope> leader_service::HandleLeave(std::string payload) {
   const auto input = core::DecodeBinary<fleet::departure>(payload);
   if (!input) co_return Malformed();
   if (fleet::ApplyDeparture(registry_, *input, clock_.Now())) {
     LogEvent(
         event_id::kEndpointLeft,
         {{"endpoint", fleet::IncarnationOf(input->name, input->started_ms)}});
-    NoteEndpointsChanged();
+    OnEndpointsChanged();
   }
   co_return Done();
 }
@@ -342,7 +342,7 @@
   co_return answer;
 }
 
-void leader_service::NoteStore(const fleet::view_request& input) {
+void leader_service::RecordStore(const fleet::view_request& input) {
   if (input.address.empty()) return;
   store_record& entry = stores_[input.instance];
   const bool is_new = entry.address != input.address;
@@ -389,24 +389,24 @@
   co_return answer;
 }
 
-void leader_service::NoteQuarantines(
+void leader_service::OnQuarantineChanges(
     const std::vector<quarantine::quarantine_change>& changes) {
   quarantine::LogChanges(crashes_, changes);
   views_.OnWarningsChanged();
 }
 
-awaitable<envelope> leader_service::TakeCrashNews(std::string payload) {
+awaitable<envelope> leader_service::HandleCrashUpdate(std::string payload) {
   const auto input = core::DecodeBinary<fleet::crash_update>(payload);
   if (!input) co_return Malformed();
   const time_point now = clock_.Now();
   for (const fleet::crash_report& report : input->reports) {
-    NoteQuarantines(quarantine::RecordCrash(crashes_, report, now));
+    OnQuarantineChanges(quarantine::RecordCrash(crashes_, report, now));
   }
   for (const fleet::cleared_crashes& item : input->forgiven) {
-    NoteQuarantines(quarantine::Forgive(crashes_, item, now));
+    OnQuarantineChanges(quarantine::Forgive(crashes_, item, now));
   }
   for (const std::string& digest : input->served) {
-    NoteQuarantines(quarantine::Release(
+    OnQuarantineChanges(quarantine::Release(
         crashes_, digest, quarantine::release_reason::kServed, now));
   }
   co_return Done();
@@ -418,9 +418,9 @@
   if (!quarantine::HasCrashes(crashes_, input->name)) {
     co_return envelope{call_outcome::kNotFound, "", "no such request", ""};
   }
-  NoteQuarantines(quarantine::Release(crashes_, input->name,
-                                      quarantine::release_reason::kOperator,
-                                      clock_.Now()));
+  OnQuarantineChanges(quarantine::Release(crashes_, input->name,
+                                          quarantine::release_reason::kOperator,
+                                          clock_.Now()));
   co_return Done();
 }
 
@@ -438,11 +438,11 @@
     co_await CommitDigestKey();
     ExpireStores();
     const auto lifted = quarantine::Expire(crashes_, clock_.Now());
-    if (!lifted.empty()) NoteQuarantines(lifted);
+    if (!lifted.empty()) OnQuarantineChanges(lifted);
     if (!fleet::ExpireEndpoints(registry_, clock_.Now())) continue;
     LogEvent(event_id::kEndpointLeaseExpired,
              {{"endpoints", std::to_string(registry_.endpoints.size())}});
-    NoteEndpointsChanged();
+    OnEndpointsChanged();
   }
 }
 
--- a/packages/controller/leader_service.h
+++ b/packages/controller/leader_service.h
@@ -46,7 +46,7 @@
 
   // Publishes that the weights of an engine changed, or that a load began or
   // ended.
-  void NoteWeightsChanged();
+  void OnWeightsChanged();
 
   // Called when the list of endpoints changed.
   std::function<void()> on_endpoints;
@@ -55,25 +55,25 @@
   using answer = boost::asio::awaitable<peering::envelope>;
 
   answer GetView(std::string payload);
-  answer TakeHeartbeats(std::string payload);
-  std::string TakeHeartbeat(const fleet::heartbeat& input);
-  answer TakeLeave(std::string payload);
+  answer HandleHeartbeats(std::string payload);
+  std::string AcceptHeartbeat(const fleet::heartbeat& input);
+  answer HandleLeave(std::string payload);
   answer PutConfiguration(std::string payload);
   answer GetConfiguration();
   answer PublishVersion(std::string payload);
   answer Retire(std::string method, std::string payload);
-  answer TakeCrashNews(std::string payload);
+  answer HandleCrashUpdate(std::string payload);
   answer Lift(std::string payload);
 
   answer CommitCall(std::string name, std::string payload);
-  void NoteStore(const fleet::view_request& input);
+  void RecordStore(const fleet::view_request& input);
   void ExpireStores();
   // Logs the changed quarantines and publishes them.
-  void NoteQuarantines(
+  void OnQuarantineChanges(
       const std::vector<quarantine::quarantine_change>& changes);
   boost::asio::awaitable<void> CommitDigestKey();
   boost::asio::awaitable<void> RunMaintenanceLoop();
-  void NoteEndpointsChanged();
+  void OnEndpointsChanged();
   bool IsKnownService(const std::string& name) const;
   view_sources Sources() const;
   fleet::view_members Members() const;
