--- a/packages/entry/relay.cc
+++ b/packages/entry/relay.cc
@@ -190,7 +190,7 @@
   const net::request& input = call.Request();
   const time_point deadline = DeadlineOf(input, where);
   const std::string service(fleet::DrawService(where, routing::DrawShare()));
-  routing::endpoint_book& book = sender_.Book();
+  routing::endpoint_load_table& book = sender_.Loads();
   std::set<std::string> tried;
   const quarantine::request_identity identity = quarantine::IdentityOf(input);
   const quarantine::quarantine_decision found = crashes_.Check(identity);
--- a/packages/routing/endpoint_choice.cc
+++ b/packages/routing/endpoint_choice.cc
@@ -28,23 +28,23 @@
 // A full endpoint has a free slot again after about one request duration.
 constexpr milliseconds kAvoidAfterFull{25};
 
-const endpoint_record& LoadOf(const endpoint_book& book,
-                              const std::string& incarnation) {
-  static const endpoint_record kNoLoad;
+const endpoint_load& LoadOf(const endpoint_load_table& book,
+                            const std::string& incarnation) {
+  static const endpoint_load kNoLoad;
   const auto found = book.records.find(incarnation);
   return found == book.records.end() ? kNoLoad : found->second;
 }
 
-bool IsLatencyKnown(const endpoint_record& record, core::time_point now) {
+bool IsLatencyKnown(const endpoint_load& record, core::time_point now) {
   return record.latency_ms > 0 && now - record.latency_at < kLatencyLifetime;
 }
 
-double MedianLatency(const endpoint_book& book,
+double MedianLatency(const endpoint_load_table& book,
                      const std::vector<const fleet::endpoint*>& candidates,
                      core::time_point now) {
   std::vector<double> known;
   for (const fleet::endpoint* item : candidates) {
-    const endpoint_record& record = LoadOf(book, item->incarnation);
+    const endpoint_load& record = LoadOf(book, item->incarnation);
     if (IsLatencyKnown(record, now)) known.push_back(record.latency_ms);
   }
   if (known.empty()) return 0;
@@ -54,7 +54,7 @@
   return *middle;
 }
 
-double ExpectedCost(const endpoint_record& record, const fleet::endpoint& item,
+double ExpectedCost(const endpoint_load& record, const fleet::endpoint& item,
                     double median_ms, const choice_input& input) {
   double queue = static_cast<double>(record.outstanding + 1);
   const auto age =
@@ -74,7 +74,7 @@
 
 }  // namespace
 
-const fleet::endpoint* ChooseEndpoint(const endpoint_book& book,
+const fleet::endpoint* ChooseEndpoint(const endpoint_load_table& book,
                                       const choice_input& input) {
   std::vector<const fleet::endpoint*> candidates;
   for (const fleet::endpoint& item : *input.endpoints) {
@@ -88,7 +88,7 @@
   double best_cost = 0;
   bool is_best_avoided = true;
   for (const fleet::endpoint* item : candidates) {
-    const endpoint_record& record = LoadOf(book, item->incarnation);
+    const endpoint_load& record = LoadOf(book, item->incarnation);
     const bool is_avoided = record.avoid_until > input.now;
     const double cost = ExpectedCost(record, *item, median_ms, input);
     const bool is_better = best == nullptr ||
@@ -102,20 +102,20 @@
   return best;
 }
 
-void NoteSent(endpoint_book& book, const std::string& incarnation) {
+void NoteSent(endpoint_load_table& book, const std::string& incarnation) {
   ++book.records[incarnation].outstanding;
 }
 
-void NoteOver(endpoint_book& book, const std::string& incarnation) {
+void NoteOver(endpoint_load_table& book, const std::string& incarnation) {
   const auto found = book.records.find(incarnation);
   if (found != book.records.end()) --found->second.outstanding;
 }
 
-void NoteAnswer(endpoint_book& book, const std::string& incarnation,
+void NoteAnswer(endpoint_load_table& book, const std::string& incarnation,
                 milliseconds latency,
                 const std::optional<fleet::load_hint>& hint,
                 core::time_point now) {
-  endpoint_record& record = book.records[incarnation];
+  endpoint_load& record = book.records[incarnation];
   const auto sample =
       static_cast<double>(std::max<int64_t>(1, latency.count()));
   record.latency_ms =
@@ -130,21 +130,21 @@
   record.load_hint_at = now;
 }
 
-void NoteFailure(endpoint_book& book, const std::string& incarnation,
+void NoteFailure(endpoint_load_table& book, const std::string& incarnation,
                  core::time_point now) {
-  endpoint_record& record = book.records[incarnation];
+  endpoint_load& record = book.records[incarnation];
   const int doublings = std::min(record.failures, kMostDoublings);
   ++record.failures;
   record.avoid_until = now + kAvoidAfterFailure * (1 << doublings);
 }
 
-void NoteFull(endpoint_book& book, const std::string& incarnation,
+void NoteFull(endpoint_load_table& book, const std::string& incarnation,
               core::time_point now) {
-  endpoint_record& record = book.records[incarnation];
+  endpoint_load& record = book.records[incarnation];
   record.avoid_until = std::max(record.avoid_until, now + kAvoidAfterFull);
 }
 
-void RemoveUnlisted(endpoint_book& book,
+void RemoveUnlisted(endpoint_load_table& book,
                     const std::vector<fleet::endpoint>& endpoints) {
   std::set<std::string> known;
   for (const fleet::endpoint& item : endpoints) known.insert(item.incarnation);
--- a/packages/routing/endpoint_choice.h
+++ b/packages/routing/endpoint_choice.h
@@ -19,7 +19,7 @@
 
 namespace hickorywood::routing {
 
-struct endpoint_record {
+struct endpoint_load {
   int64_t outstanding = 0;  // requests of this entry
   double latency_ms = 0;    // of answered requests, smoothed; 0: no sample
   core::time_point latency_at{};
@@ -30,8 +30,8 @@
   core::time_point avoid_until{};
 };
 
-struct endpoint_book {
-  std::map<std::string, endpoint_record> records;  // by incarnation
+struct endpoint_load_table {
+  std::map<std::string, endpoint_load> records;  // by incarnation
 };
 
 struct choice_input {
@@ -46,25 +46,25 @@
 // Returns the endpoint with the lowest expected cost, or nullptr when no
 // endpoint can accept the request. Endpoints that failed recently are chosen
 // only when there is no alternative.
-const fleet::endpoint* ChooseEndpoint(const endpoint_book& book,
+const fleet::endpoint* ChooseEndpoint(const endpoint_load_table& book,
                                       const choice_input& input);
 
-void NoteSent(endpoint_book& book, const std::string& incarnation);
-void NoteOver(endpoint_book& book, const std::string& incarnation);
-void NoteAnswer(endpoint_book& book, const std::string& incarnation,
+void NoteSent(endpoint_load_table& book, const std::string& incarnation);
+void NoteOver(endpoint_load_table& book, const std::string& incarnation);
+void NoteAnswer(endpoint_load_table& book, const std::string& incarnation,
                 std::chrono::milliseconds latency,
                 const std::optional<fleet::load_hint>& hint,
                 core::time_point now);
 // The endpoint was unreachable, or its answer was cut off or malformed.
-void NoteFailure(endpoint_book& book, const std::string& incarnation,
+void NoteFailure(endpoint_load_table& book, const std::string& incarnation,
                  core::time_point now);
 // The endpoint rejected a request because it is full.
-void NoteFull(endpoint_book& book, const std::string& incarnation,
+void NoteFull(endpoint_load_table& book, const std::string& incarnation,
               core::time_point now);
 
 // Removes the records of incarnations that are neither in `endpoints` nor have
 // outstanding requests.
-void RemoveUnlisted(endpoint_book& book,
+void RemoveUnlisted(endpoint_load_table& book,
                     const std::vector<fleet::endpoint>& endpoints);
 
 }  // namespace hickorywood::routing
--- a/packages/routing/request_sender.h
+++ b/packages/routing/request_sender.h
@@ -74,7 +74,7 @@
 
   // Load records of the endpoints, shared with requests that are not sent by
   // Send().
-  endpoint_book& Book() { return book_; }
+  endpoint_load_table& Loads() { return book_; }
   const std::string& OwnZone() const { return own_zone_; }
 
  private:
@@ -101,7 +101,7 @@
   const fleet::view& view_;
   quarantine::crash_detector& crashes_;
   const std::string own_zone_;
-  endpoint_book book_;
+  endpoint_load_table book_;
   std::map<std::string, std::string> addresses_;  // by incarnation
 };
 
--- a/tests/unit/routing/endpoint_choice_test.cc
+++ b/tests/unit/routing/endpoint_choice_test.cc
@@ -36,7 +36,7 @@
 
   std::vector<fleet::endpoint> endpoints_;
   std::set<std::string> excluded_;
-  endpoint_book book_;
+  endpoint_load_table book_;
   core::time_point now_ = core::time_point(seconds(100));
 };
 
