--- a/packages/entry/relay.cc
+++ b/packages/entry/relay.cc
@@ -213,17 +213,17 @@
     open_request open(crashes_, identity, target);
     stream_start stream = co_await StartStream(input, target, deadline);
     if (stream.how == stream_start::outcome::kNotSent) {
-      routing::NoteFailure(book, target.incarnation, clock_.Now());
+      routing::RecordFailure(book, target.incarnation, clock_.Now());
       open.Settle();
       continue;
     }
     if (stream.how == stream_start::outcome::kNotRun) {
-      routing::NoteFull(book, target.incarnation, clock_.Now());
+      routing::RecordFullRejection(book, target.incarnation, clock_.Now());
       open.Settle();
       continue;
     }
     if (stream.how == stream_start::outcome::kNoAnswer) {
-      routing::NoteFailure(book, target.incarnation, clock_.Now());
+      routing::RecordFailure(book, target.incarnation, clock_.Now());
       const auto cancellation = co_await asio::this_coro::cancellation_state;
       if (!IsEndedLocally(cancellation, deadline)) open.SettleBroken();
       co_await call.Reply(
--- a/packages/routing/endpoint_choice.cc
+++ b/packages/routing/endpoint_choice.cc
@@ -102,19 +102,19 @@
   return best;
 }
 
-void NoteSent(endpoint_load_table& book, const std::string& incarnation) {
+void RecordSent(endpoint_load_table& book, const std::string& incarnation) {
   ++book.records[incarnation].outstanding;
 }
 
-void NoteOver(endpoint_load_table& book, const std::string& incarnation) {
+void RecordFinished(endpoint_load_table& book, const std::string& incarnation) {
   const auto found = book.records.find(incarnation);
   if (found != book.records.end()) --found->second.outstanding;
 }
 
-void NoteAnswer(endpoint_load_table& book, const std::string& incarnation,
-                milliseconds latency,
-                const std::optional<fleet::load_hint>& hint,
-                core::time_point now) {
+void RecordAnswer(endpoint_load_table& book, const std::string& incarnation,
+                  milliseconds latency,
+                  const std::optional<fleet::load_hint>& hint,
+                  core::time_point now) {
   endpoint_load& record = book.records[incarnation];
   const auto sample =
       static_cast<double>(std::max<int64_t>(1, latency.count()));
@@ -130,16 +130,16 @@
   record.load_hint_at = now;
 }
 
-void NoteFailure(endpoint_load_table& book, const std::string& incarnation,
-                 core::time_point now) {
+void RecordFailure(endpoint_load_table& book, const std::string& incarnation,
+                   core::time_point now) {
   endpoint_load& record = book.records[incarnation];
   const int doublings = std::min(record.failures, kMostDoublings);
   ++record.failures;
   record.avoid_until = now + kAvoidAfterFailure * (1 << doublings);
 }
 
-void NoteFull(endpoint_load_table& book, const std::string& incarnation,
-              core::time_point now) {
+void RecordFullRejection(endpoint_load_table& book,
+                         const std::string& incarnation, core::time_point now) {
   endpoint_load& record = book.records[incarnation];
   record.avoid_until = std::max(record.avoid_until, now + kAvoidAfterFull);
 }
--- a/packages/routing/endpoint_choice.h
+++ b/packages/routing/endpoint_choice.h
@@ -49,18 +49,18 @@
 const fleet::endpoint* ChooseEndpoint(const endpoint_load_table& book,
                                       const choice_input& input);
 
-void NoteSent(endpoint_load_table& book, const std::string& incarnation);
-void NoteOver(endpoint_load_table& book, const std::string& incarnation);
-void NoteAnswer(endpoint_load_table& book, const std::string& incarnation,
-                std::chrono::milliseconds latency,
-                const std::optional<fleet::load_hint>& hint,
-                core::time_point now);
+void RecordSent(endpoint_load_table& book, const std::string& incarnation);
+void RecordFinished(endpoint_load_table& book, const std::string& incarnation);
+void RecordAnswer(endpoint_load_table& book, const std::string& incarnation,
+                  std::chrono::milliseconds latency,
+                  const std::optional<fleet::load_hint>& hint,
+                  core::time_point now);
 // The endpoint was unreachable, or its answer was cut off or malformed.
-void NoteFailure(endpoint_load_table& book, const std::string& incarnation,
-                 core::time_point now);
+void RecordFailure(endpoint_load_table& book, const std::string& incarnation,
+                   core::time_point now);
 // The endpoint rejected a request because it is full.
-void NoteFull(endpoint_load_table& book, const std::string& incarnation,
-              core::time_point now);
+void RecordFullRejection(endpoint_load_table& book,
+                         const std::string& incarnation, core::time_point now);
 
 // Removes the records of incarnations that are neither in `endpoints` nor have
 // outstanding requests.
--- a/packages/routing/request_sender.cc
+++ b/packages/routing/request_sender.cc
@@ -208,13 +208,13 @@
   fleet::dispatch_terms terms;
   terms.time_left = Since(clock_.Now(), state->terms.deadline);
   terms.endpoint = target->name;
-  NoteSent(book_, incarnation);
+  RecordSent(book_, incarnation);
   net::SpawnCancellable(
       loop_, Attempt(state, *target, wire_.EncodeDispatch(input, terms)),
       state->cancels.back(),
       [this, state, incarnation](const std::exception_ptr& failure,
                                  attempt_result result) {
-        NoteOver(book_, incarnation);
+        RecordFinished(book_, incarnation);
         result.is_cancelled = result.is_cancelled || failure != nullptr;
         --state->running;
         state->results.push_back(std::move(result));
@@ -244,14 +244,15 @@
   const bool is_whole = call.how == net::progress::kAnswered;
   const bool is_success = call.answer.status / 100 == 2;
   if (is_whole && marks.is_not_run) {
-    NoteFull(book_, target.incarnation, now);
+    RecordFullRejection(book_, target.incarnation, now);
   } else if (is_whole && (marks.IsSigned() || !is_success)) {
     result.may_have_run = true;
     result.is_usable = marks.IsSigned();
-    NoteAnswer(book_, target.incarnation, Since(started, now), marks.load, now);
+    RecordAnswer(book_, target.incarnation, Since(started, now), marks.load,
+                 now);
   } else {
     result.may_have_run = call.how != net::progress::kNotSent;
-    NoteFailure(book_, target.incarnation, now);
+    RecordFailure(book_, target.incarnation, now);
     // The attempt was cancelled locally when the caller disconnected or another
     // copy was answered first; the endpoint did not break the connection then.
     const auto cancellation = co_await asio::this_coro::cancellation_state;
