--- a/packages/routing/adaptive_limit.cc
+++ b/packages/routing/adaptive_limit.cc
@@ -35,12 +35,13 @@
 }
 
 // Raises the limit by about 1 for every `limit` answers (additive increase).
-void NoteServed(adaptive_limit& limit, int64_t slots) {
+void RecordServed(adaptive_limit& limit, int64_t slots) {
   const double current = CurrentLimit(limit, slots);
   limit.allowed = std::min(MaxRequests(slots), current + 1 / current);
 }
 
-void NoteRefused(adaptive_limit& limit, int64_t slots, core::time_point now) {
+void RecordRejected(adaptive_limit& limit, int64_t slots,
+                    core::time_point now) {
   const bool is_same_overload =
       limit.allowed > 0 && now - limit.shrunk_at < kRejectionWindow;
   if (is_same_overload) return;
--- a/packages/routing/adaptive_limit.h
+++ b/packages/routing/adaptive_limit.h
@@ -22,9 +22,9 @@
 int64_t AllowedNow(const adaptive_limit& limit, int64_t slots);
 
 // Raises the limit after an endpoint served a request.
-void NoteServed(adaptive_limit& limit, int64_t slots);
+void RecordServed(adaptive_limit& limit, int64_t slots);
 // Lowers the limit after an endpoint rejected a request because it is full.
-void NoteRefused(adaptive_limit& limit, int64_t slots, core::time_point now);
+void RecordRejected(adaptive_limit& limit, int64_t slots, core::time_point now);
 
 }  // namespace hickorywood::routing
 
--- a/packages/store/reward_caller.cc
+++ b/packages/store/reward_caller.cc
@@ -146,9 +146,9 @@
   const bool is_scored = IsScored(outcome);
   routing::adaptive_limit& limit = routes_[where.name].limit;
   if (outcome.refusals > 0) {
-    routing::NoteRefused(limit, SlotsOf(where), now);
+    routing::RecordRejected(limit, SlotsOf(where), now);
   } else if (outcome.answer) {
-    routing::NoteServed(limit, SlotsOf(where));
+    routing::RecordServed(limit, SlotsOf(where));
   }
   job->failures += outcome.failed_answers;
   const bool is_abandoned = !is_scored && job->failures >= where.max_attempts;
--- a/tests/unit/routing/adaptive_limit_test.cc
+++ b/tests/unit/routing/adaptive_limit_test.cc
@@ -22,7 +22,7 @@
   adaptive_limit limit;
   EXPECT_GE(AllowedNow(limit, 0), 1);
   for (int i = 0; i < 50; ++i) {
-    NoteRefused(limit, 1, kStart + seconds(i));
+    RecordRejected(limit, 1, kStart + seconds(i));
   }
   EXPECT_GE(AllowedNow(limit, 1), 1);
 }
@@ -32,22 +32,22 @@
 // slots after some rounds of answers.
 TEST(AdaptiveLimitTest, FallsWithRejectionsAndRecovers) {
   adaptive_limit limit;
-  NoteRefused(limit, kSlots, kStart);
+  RecordRejected(limit, kSlots, kStart);
   const int64_t after_one = AllowedNow(limit, kSlots);
   EXPECT_LT(after_one, kSlots / 2);
   // This request was sent under the same limit, so its rejection doesn't count.
-  NoteRefused(limit, kSlots, kStart + milliseconds(50));
+  RecordRejected(limit, kSlots, kStart + milliseconds(50));
   EXPECT_EQ(AllowedNow(limit, kSlots), after_one);
-  NoteRefused(limit, kSlots, kStart + seconds(1));
+  RecordRejected(limit, kSlots, kStart + seconds(1));
   EXPECT_LT(AllowedNow(limit, kSlots), after_one);
-  for (int i = 0; i < 1000; ++i) NoteServed(limit, kSlots);
+  for (int i = 0; i < 1000; ++i) RecordServed(limit, kSlots);
   EXPECT_EQ(AllowedNow(limit, kSlots), kSlots / 2);
 }
 
 // Half of the endpoints are removed: the limit follows immediately.
 TEST(AdaptiveLimitTest, FollowsTheNumberOfSlots) {
   adaptive_limit limit;
-  NoteServed(limit, kSlots);
+  RecordServed(limit, kSlots);
   EXPECT_EQ(AllowedNow(limit, kSlots / 2), kSlots / 4);
 }
 
