--- a/packages/hickoryd/call_service.cc
+++ b/packages/hickoryd/call_service.cc
@@ -360,8 +360,8 @@
     return;
   }
   quarantine_.RecordServed(IdentityOf(call->call));
-  routing::NoteSuccess(stats_[call->endpoint.id], 0, milliseconds(0));
-  routing::NoteSuccess(budgets_[call->call.service]);
+  routing::RecordSuccess(stats_[call->endpoint.id], 0, milliseconds(0));
+  routing::RecordSuccess(budgets_[call->call.service]);
   service_answer answer;
   answer.is_answered = true;
   answer.status = response.status;
@@ -386,7 +386,7 @@
   const routing::ejection_policy ejection{call->routing.ejection_failures,
                                           call->routing.ejection_time,
                                           call->routing.ejection_floor};
-  if (routing::NoteFailure(stats_, call->endpoint.id, ids, ejection, now)) {
+  if (routing::RecordFailure(stats_, call->endpoint.id, ids, ejection, now)) {
     LogEvent(event_id::kEndpointEjected,
              {{"endpoint", call->endpoint.id}, {"reason", reason}});
   }
@@ -403,7 +403,7 @@
   const bool has_time =
       now < call->call_deadline && call->attempts < kMaxAttempts;
   if (may_repeat && has_time &&
-      routing::TakeRetry(budgets_[call->call.service])) {
+      routing::ConsumeRetry(budgets_[call->call.service])) {
     context_.counters.CountRetry(call->call.service);
     Attempt(call);
     return;
--- a/packages/hickoryd/generation_attempt.cc
+++ b/packages/hickoryd/generation_attempt.cc
@@ -97,7 +97,7 @@
     const auto view = context_.board.Get();
     const settings::pool_config* pool = FindPool(*view, item->request.pool);
     const int64_t limit = pool == nullptr ? 1 : pool->engine_concurrency;
-    routing::NoteOverload(stats_[item->engine], limit);
+    routing::RecordOverload(stats_[item->engine], limit);
     explain_.Add(item->request.id, item->engine + " is busy");
     // A busy engine can report a low load and would be chosen again each time:
     // prompts whose preferred engine was busy waited there while other engines
@@ -137,10 +137,10 @@
   const int64_t tokens = item.generated.token_count - item.attempt_first_token;
   const auto took = std::chrono::duration_cast<core::milliseconds>(
       now - item.attempt_started_at);
-  routing::NoteSuccess(stats_[item.engine], tokens, took);
+  routing::RecordSuccess(stats_[item.engine], tokens, took);
   FinishAttempt(item);
   pool_state& state = pools_[item.request.pool];
-  routing::NoteSuccess(state.budget);
+  routing::RecordSuccess(state.budget);
   routing::NoteCompletion(state.rate, now);
   generation_result result;
   result.is_complete = true;
@@ -168,8 +168,8 @@
     const routing::ejection_policy ejection{routing.ejection_failures,
                                             routing.ejection_time,
                                             routing.ejection_floor};
-    if (routing::NoteFailure(stats_, engine, EngineIds(item.request.pool),
-                             ejection, context_.clock.Now())) {
+    if (routing::RecordFailure(stats_, engine, EngineIds(item.request.pool),
+                               ejection, context_.clock.Now())) {
       LogEvent(event_id::kEndpointEjected,
                {{"endpoint", engine}, {"reason", reason}});
     }
@@ -177,7 +177,7 @@
   ++item.failures;
   pool_state& state = pools_[item.request.pool];
   const bool may_retry =
-      item.failures < kMaxAttempts && routing::TakeRetry(state.budget);
+      item.failures < kMaxAttempts && routing::ConsumeRetry(state.budget);
   if (!may_retry) {
     Fail(item,
          "stopped after " + std::to_string(item.failures) +
--- a/packages/routing/endpoint_health.cc
+++ b/packages/routing/endpoint_health.cc
@@ -20,8 +20,8 @@
 
 }  // namespace
 
-void NoteSuccess(endpoint_stats& stats, int64_t generated_tokens,
-                 milliseconds took) {
+void RecordSuccess(endpoint_stats& stats, int64_t generated_tokens,
+                   milliseconds took) {
   stats.failures_in_row = 0;
   if (stats.concurrency_limit > 0) ++stats.concurrency_limit;
   if (generated_tokens <= 0) return;
@@ -34,9 +34,9 @@
                 kSpeedSmoothing * (seconds - stats.token_seconds);
 }
 
-bool NoteFailure(stats_table& table, const std::string& id,
-                 const std::vector<std::string>& peers,
-                 const ejection_policy& policy, time_point now) {
+bool RecordFailure(stats_table& table, const std::string& id,
+                   const std::vector<std::string>& peers,
+                   const ejection_policy& policy, time_point now) {
   endpoint_stats& stats = table[id];
   ++stats.failures_in_row;
   if (stats.is_ejected || stats.failures_in_row < policy.failures) return false;
@@ -50,7 +50,7 @@
   return true;
 }
 
-void NoteOverload(endpoint_stats& stats, int64_t configured_limit) {
+void RecordOverload(endpoint_stats& stats, int64_t configured_limit) {
   const int64_t current =
       stats.concurrency_limit > 0 ? stats.concurrency_limit : configured_limit;
   // Starts from the number of requests in flight: a limit far above that number
--- a/packages/routing/endpoint_health.h
+++ b/packages/routing/endpoint_health.h
@@ -40,20 +40,20 @@
 
 // Records a successful request. `generated_tokens` and `took` update the
 // measured speed; 0 tokens leave it unchanged.
-void NoteSuccess(endpoint_stats& stats, int64_t generated_tokens,
-                 milliseconds took);
+void RecordSuccess(endpoint_stats& stats, int64_t generated_tokens,
+                   milliseconds took);
 
 // Records a failure that the endpoint caused (no connection, cut stream,
 // timeout, 5xx). Returns true when the endpoint is ejected because of it.
 // `peers` are the ids of the endpoints to which `ejection_policy::floor`
 // applies, `id` included.
-bool NoteFailure(stats_table& table, const std::string& id,
-                 const std::vector<std::string>& peers,
-                 const ejection_policy& policy, time_point now);
+bool RecordFailure(stats_table& table, const std::string& id,
+                   const std::vector<std::string>& peers,
+                   const ejection_policy& policy, time_point now);
 
 // Records that the endpoint rejected a request for lack of capacity. This
 // lowers the concurrency limit and doesn't count as a failure.
-void NoteOverload(endpoint_stats& stats, int64_t configured_limit);
+void RecordOverload(endpoint_stats& stats, int64_t configured_limit);
 
 // Returns whether the endpoint may be chosen at `now`. Ends an ejection that
 // has expired.
--- a/packages/routing/retry_budget.cc
+++ b/packages/routing/retry_budget.cc
@@ -11,12 +11,12 @@
 
 }  // namespace
 
-void NoteSuccess(retry_budget& budget) {
+void RecordSuccess(retry_budget& budget) {
   budget.available =
       std::min(kMaxAvailableRetries, budget.available + budget.share);
 }
 
-bool TakeRetry(retry_budget& budget) {
+bool ConsumeRetry(retry_budget& budget) {
   if (budget.available < 1) return false;
   budget.available -= 1;
   return true;
--- a/packages/routing/retry_budget.h
+++ b/packages/routing/retry_budget.h
@@ -11,10 +11,10 @@
   double available = 10;  // retries that may be made now
 };
 
-void NoteSuccess(retry_budget& budget);
+void RecordSuccess(retry_budget& budget);
 
 // Consumes one retry. Returns false when the budget is exhausted.
-bool TakeRetry(retry_budget& budget);
+bool ConsumeRetry(retry_budget& budget);
 
 }  // namespace hickorywood::routing
 
--- a/tests/unit/routing/routing_test.cc
+++ b/tests/unit/routing/routing_test.cc
@@ -128,9 +128,9 @@
   stats_table table;
   const std::vector<std::string> peers = {"a", "b", "c", "d"};
   const ejection_policy policy;
-  EXPECT_FALSE(NoteFailure(table, "a", peers, policy, kStart));
-  EXPECT_FALSE(NoteFailure(table, "a", peers, policy, kStart));
-  EXPECT_TRUE(NoteFailure(table, "a", peers, policy, kStart));
+  EXPECT_FALSE(RecordFailure(table, "a", peers, policy, kStart));
+  EXPECT_FALSE(RecordFailure(table, "a", peers, policy, kStart));
+  EXPECT_TRUE(RecordFailure(table, "a", peers, policy, kStart));
   EXPECT_FALSE(IsAvailable(table["a"], kStart + milliseconds(4999)));
   EXPECT_TRUE(IsAvailable(table["a"], kStart + milliseconds(5000)));
   EXPECT_EQ(AllowedConcurrency(table["a"], 100, kStart + milliseconds(5000)),
@@ -148,7 +148,7 @@
   const std::vector<std::string> peers = {"a", "b", "c", "d"};
   for (const std::string& id : peers) {
     for (int i = 0; i < 10; ++i) {
-      NoteFailure(table, id, peers, ejection_policy{}, kStart);
+      RecordFailure(table, id, peers, ejection_policy{}, kStart);
     }
   }
   int available = 0;
@@ -161,9 +161,9 @@
 TEST(HealthTest, OverloadShrinksTheLimitAndSuccessGrowsIt) {
   endpoint_stats stats;
   stats.outstanding = 40;
-  NoteOverload(stats, 100);
+  RecordOverload(stats, 100);
   EXPECT_EQ(AllowedConcurrency(stats, 100, kStart), 30);
-  NoteSuccess(stats, 10, milliseconds(10));
+  RecordSuccess(stats, 10, milliseconds(10));
   EXPECT_EQ(AllowedConcurrency(stats, 100, kStart), 31);
 }
 
@@ -240,10 +240,10 @@
 TEST(RetryBudgetTest, FailuresAloneExhaustIt) {
   retry_budget budget;
   int retries = 0;
-  for (int i = 0; i < 1000; ++i) retries += TakeRetry(budget) ? 1 : 0;
+  for (int i = 0; i < 1000; ++i) retries += ConsumeRetry(budget) ? 1 : 0;
   EXPECT_EQ(retries, 10);
-  for (int i = 0; i < 100; ++i) NoteSuccess(budget);
-  EXPECT_TRUE(TakeRetry(budget));
+  for (int i = 0; i < 100; ++i) RecordSuccess(budget);
+  EXPECT_TRUE(ConsumeRetry(budget));
 }
 
 TEST(ConnectionSuspicionTest, EndsWithTheAgeOfTheConnections) {
