--- a/packages/hickoryd/generation_attempt.cc
+++ b/packages/hickoryd/generation_attempt.cc
@@ -141,7 +141,7 @@
   FinishAttempt(item);
   pool_state& state = pools_[item.request.pool];
   routing::RecordSuccess(state.budget);
-  routing::NoteCompletion(state.rate, now);
+  routing::RecordCompletion(state.rate, now);
   generation_result result;
   result.is_complete = true;
   result.generated = item.generated;
--- a/packages/routing/admission.cc
+++ b/packages/routing/admission.cc
@@ -87,7 +87,7 @@
   return removed;
 }
 
-void NoteCompletion(completion_rate& rate, time_point now) {
+void RecordCompletion(completion_rate& rate, time_point now) {
   if (rate.window_start == time_point{}) rate.window_start = now;
   ++rate.in_window;
   const auto elapsed = now - rate.window_start;
--- a/packages/routing/admission.h
+++ b/packages/routing/admission.h
@@ -65,7 +65,7 @@
   int64_t in_window = 0;
 };
 
-void NoteCompletion(completion_rate& rate, time_point now);
+void RecordCompletion(completion_rate& rate, time_point now);
 
 // Expected wait of a request that arrives now with `ahead` requests before it.
 milliseconds ExpectedWait(const completion_rate& rate, size_t ahead);
--- a/tests/unit/routing/routing_test.cc
+++ b/tests/unit/routing/routing_test.cc
@@ -228,7 +228,7 @@
 TEST(AdmissionTest, RejectsImmediatelyWithRetryAfter) {
   completion_rate rate;
   for (int i = 0; i <= 100; ++i) {
-    NoteCompletion(rate, kStart + milliseconds(10 * i));
+    RecordCompletion(rate, kStart + milliseconds(10 * i));
   }
   EXPECT_NEAR(rate.per_second, 100, 10);
   EXPECT_TRUE(Admit(rate, 50, milliseconds(1000)).is_admitted);
