--- a/packages/hickoryd/call_service.cc
+++ b/packages/hickoryd/call_service.cc
@@ -331,7 +331,7 @@
                                   const http_response& response) {
   --stats_[call->endpoint.id].outstanding;
   if (response.is_timeout) {
-    routing::NoteSilence(suspicion_, call->endpoint.id, context_.clock.Now());
+    routing::RecordTimeout(suspicion_, call->endpoint.id, context_.clock.Now());
   }
   if (ReportsNotRun(response)) {
     HandleFailure(call, response,
--- a/packages/hickoryd/call_service.h
+++ b/packages/hickoryd/call_service.h
@@ -16,7 +16,7 @@
 #include "hickoryd/explain_log.h"
 #include "hickoryd/generation_service.h"
 #include "hickoryd/leader_client.h"
-#include "routing/connection_suspicion.h"
+#include "routing/stale_connections.h"
 
 namespace hickorywood::hickoryd {
 
@@ -98,7 +98,7 @@
   call_quarantine& quarantine_;
   routing::choice_state choice_;
   routing::stats_table stats_;
-  routing::connection_suspicion suspicion_;               // by endpoint
+  routing::stale_connections suspicion_;                  // by endpoint
   std::map<std::string, routing::retry_budget> budgets_;  // by service
   size_t active_ = 0;
 };
--- a/packages/hickoryd/generation_service.cc
+++ b/packages/hickoryd/generation_service.cc
@@ -321,7 +321,7 @@
   }
   for (const auto& item : stalled) {
     if (active_.count(item->id) == 0) continue;
-    routing::NoteSilence(suspicion_, item->engine, now);
+    routing::RecordTimeout(suspicion_, item->engine, now);
     HandleFailure(*item, "the engine sent no data within the progress timeout",
                   true);
   }
--- a/packages/hickoryd/generation_service.h
+++ b/packages/hickoryd/generation_service.h
@@ -17,9 +17,9 @@
 #include "rollout/label.h"
 #include "routing/admission.h"
 #include "routing/choice.h"
-#include "routing/connection_suspicion.h"
 #include "routing/endpoint_health.h"
 #include "routing/retry_budget.h"
+#include "routing/stale_connections.h"
 #include "transport/engine_protocol.h"
 
 namespace hickorywood::hickoryd {
@@ -135,7 +135,7 @@
   const generation_policy policy_;
   routing::choice_state choice_;
   routing::stats_table stats_;
-  routing::connection_suspicion suspicion_;  // by engine
+  routing::stale_connections suspicion_;  // by engine
   std::map<std::string, uint64_t>
       report_seen_;  // seq of the latest report, by engine
   std::map<std::string, pool_state> pools_;
--- a/packages/hickoryd/peer_links.cc
+++ b/packages/hickoryd/peer_links.cc
@@ -58,9 +58,9 @@
   return routing::NeedsFreshConnection(suspicion_, peer, clock_.Now());
 }
 
-void peer_links::NoteSilence(const std::string& peer) {
+void peer_links::RecordTimeout(const std::string& peer) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  routing::NoteSilence(suspicion_, peer, clock_.Now());
+  routing::RecordTimeout(suspicion_, peer, clock_.Now());
 }
 
 void peer_links::Call(const std::string& peer, const std::string& path,
@@ -88,7 +88,7 @@
       timeout > kMaxSharedConnectionTimeout || NeedsFreshConnection(peer);
   client_.Send(std::move(request), [this, peer, done = std::move(done)](
                                        transport::http_response response) {
-    if (response.is_timeout) NoteSilence(peer);
+    if (response.is_timeout) RecordTimeout(peer);
     done(std::move(response));
   });
 }
--- a/packages/hickoryd/peer_links.h
+++ b/packages/hickoryd/peer_links.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "core/clock.h"
-#include "routing/connection_suspicion.h"
+#include "routing/stale_connections.h"
 #include "settings/instance_settings.h"
 #include "transport/http_client.h"
 
@@ -50,7 +50,7 @@
  private:
   std::optional<std::string> AddressOf(const std::string& peer) const;
   bool NeedsFreshConnection(const std::string& peer) const;
-  void NoteSilence(const std::string& peer);
+  void RecordTimeout(const std::string& peer);
 
   const core::runtime_clock& clock_;
   const settings::instance_settings& settings_;
@@ -59,7 +59,7 @@
   std::vector<std::string> control_;
   mutable std::mutex mutex_;
   std::map<std::string, std::string> addresses_;  // guarded by mutex_
-  routing::connection_suspicion suspicion_;       // guarded by mutex_
+  routing::stale_connections suspicion_;          // guarded by mutex_
 };
 
 }  // namespace hickorywood::hickoryd
--- a/packages/routing/connection_suspicion.cc
+++ b/packages/routing/stale_connections.cc
@@ -1,4 +1,4 @@
-#include "routing/connection_suspicion.h"
+#include "routing/stale_connections.h"
 
 namespace hickorywood::routing {
 namespace {
@@ -9,12 +9,12 @@
 
 }  // namespace
 
-void NoteSilence(connection_suspicion& suspicion, const std::string& peer,
-                 core::time_point now) {
+void RecordTimeout(stale_connections& suspicion, const std::string& peer,
+                   core::time_point now) {
   suspicion.until[peer] = now + kSuspicionDuration;
 }
 
-bool NeedsFreshConnection(const connection_suspicion& suspicion,
+bool NeedsFreshConnection(const stale_connections& suspicion,
                           const std::string& peer, core::time_point now) {
   const auto found = suspicion.until.find(peer);
   return found != suspicion.until.end() && now < found->second;
--- a/packages/routing/connection_suspicion.h
+++ b/packages/routing/stale_connections.h
@@ -1,5 +1,5 @@
-#ifndef HICKORYWOOD_ROUTING_CONNECTION_SUSPICION_H_
-#define HICKORYWOOD_ROUTING_CONNECTION_SUSPICION_H_
+#ifndef HICKORYWOOD_ROUTING_STALE_CONNECTIONS_H_
+#define HICKORYWOOD_ROUTING_STALE_CONNECTIONS_H_
 
 #include <map>
 #include <string>
@@ -14,16 +14,16 @@
 // timeout is no evidence about the peer itself, but all connections of that age
 // become suspected: until the HTTP client has closed them because of their idle
 // age, calls to that peer use new connections.
-struct connection_suspicion {
+struct stale_connections {
   std::map<std::string, core::time_point> until;  // by peer
 };
 
-void NoteSilence(connection_suspicion& suspicion, const std::string& peer,
-                 core::time_point now);
+void RecordTimeout(stale_connections& suspicion, const std::string& peer,
+                   core::time_point now);
 
-bool NeedsFreshConnection(const connection_suspicion& suspicion,
+bool NeedsFreshConnection(const stale_connections& suspicion,
                           const std::string& peer, core::time_point now);
 
 }  // namespace hickorywood::routing
 
-#endif  // HICKORYWOOD_ROUTING_CONNECTION_SUSPICION_H_
+#endif  // HICKORYWOOD_ROUTING_STALE_CONNECTIONS_H_
--- a/tests/unit/routing/routing_test.cc
+++ b/tests/unit/routing/routing_test.cc
@@ -8,9 +8,9 @@
 
 #include "routing/admission.h"
 #include "routing/choice.h"
-#include "routing/connection_suspicion.h"
 #include "routing/endpoint_health.h"
 #include "routing/retry_budget.h"
+#include "routing/stale_connections.h"
 
 namespace hickorywood::routing {
 namespace {
@@ -246,10 +246,10 @@
   EXPECT_TRUE(ConsumeRetry(budget));
 }
 
-TEST(ConnectionSuspicionTest, EndsWithTheAgeOfTheConnections) {
-  connection_suspicion suspicion;
+TEST(StaleConnectionsTest, EndsWithTheAgeOfTheConnections) {
+  stale_connections suspicion;
   EXPECT_FALSE(NeedsFreshConnection(suspicion, "a", kStart));
-  NoteSilence(suspicion, "a", kStart);
+  RecordTimeout(suspicion, "a", kStart);
   EXPECT_TRUE(
       NeedsFreshConnection(suspicion, "a", kStart + milliseconds(20000)));
   EXPECT_FALSE(
