--- a/packages/routing/admission.cc
+++ b/packages/routing/admission.cc
@@ -21,14 +21,15 @@
   return true;
 }
 
-double Share(const waiting_request& request, const fair_queue::lane& lane) {
+double Share(const waiting_request& request,
+             const fair_queue::trainer_queue& lane) {
   return static_cast<double>(request.cost) / static_cast<double>(lane.weight);
 }
 
 }  // namespace
 
 void SetWeight(fair_queue& queue, const std::string& trainer, int64_t weight) {
-  queue.rollout_lanes[trainer].weight = std::max<int64_t>(1, weight);
+  queue.trainer_queues[trainer].weight = std::max<int64_t>(1, weight);
 }
 
 void Push(fair_queue& queue, const waiting_request& request) {
@@ -37,7 +38,7 @@
     queue.interactive.push_back(request);
     return;
   }
-  fair_queue::lane& lane = queue.rollout_lanes[request.trainer];
+  fair_queue::trainer_queue& lane = queue.trainer_queues[request.trainer];
   // A trainer that was idle starts at the current virtual time and gets no
   // credit for its idle time.
   if (lane.waiting.empty()) {
@@ -54,8 +55,8 @@
     queue.interactive.pop_front();
     return next;
   }
-  fair_queue::lane* first = nullptr;
-  for (auto& [trainer, lane] : queue.rollout_lanes) {
+  fair_queue::trainer_queue* first = nullptr;
+  for (auto& [trainer, lane] : queue.trainer_queues) {
     if (lane.waiting.empty()) continue;
     if (first == nullptr || lane.finish < first->finish) first = &lane;
   }
@@ -72,15 +73,15 @@
     queue.interactive.push_front(request);
     return;
   }
-  fair_queue::lane& lane = queue.rollout_lanes[request.trainer];
+  fair_queue::trainer_queue& lane = queue.trainer_queues[request.trainer];
   lane.waiting.push_front(request);
   lane.finish -= Share(request, lane);
 }
 
 bool Remove(fair_queue& queue, uint64_t id) {
   bool removed = RemoveFrom(queue.interactive, id);
-  for (auto item = queue.rollout_lanes.begin();
-       !removed && item != queue.rollout_lanes.end(); ++item) {
+  for (auto item = queue.trainer_queues.begin();
+       !removed && item != queue.trainer_queues.end(); ++item) {
     removed = RemoveFrom(item->second.waiting, id);
   }
   if (removed) --queue.size;
--- a/packages/routing/admission.h
+++ b/packages/routing/admission.h
@@ -33,12 +33,12 @@
 // requests than its share, only its own requests wait longer. Interactive
 // requests start before rollouts.
 struct fair_queue {
-  struct lane {
+  struct trainer_queue {
     std::deque<waiting_request> waiting;
     double finish = 0;  // virtual finish time of the last started request
     int64_t weight = 1;
   };
-  std::map<std::string, lane> rollout_lanes;  // by trainer
+  std::map<std::string, trainer_queue> trainer_queues;  // by trainer
   std::deque<waiting_request> interactive;
   double virtual_time = 0;
   size_t size = 0;
