--- a/bench/bench_rollout.cc
+++ b/bench/bench_rollout.cc
@@ -25,7 +25,7 @@
 constexpr int kGroup = 8;
 constexpr int kMaxRunning = 32;
 constexpr int64_t kMeanTokens = 64;
-constexpr int64_t kMostTokens = 512;
+constexpr int64_t kMaxTokens = 512;
 constexpr double kStepBaseMs = 4;
 constexpr double kStepPerRequestMs = 0.1;
 constexpr double kSlowFactor = 10;
@@ -64,7 +64,7 @@
     const std::string id = step + "." + std::to_string(slot) + ".1.1-1";
     const std::string prompt =
         "prompt " + std::to_string(slot / kGroup) + " of " + step;
-    lengths.push_back(fakes::LengthOf(id, prompt, kMeanTokens, kMostTokens));
+    lengths.push_back(fakes::LengthOf(id, prompt, kMeanTokens, kMaxTokens));
   }
   std::sort(lengths.rbegin(), lengths.rend());
   std::vector<double> factors(kEngines, 1.0);
@@ -115,7 +115,7 @@
   const auto start = steady::now();
   const auto opened =
       fleet.Web().Post(fleet.Callers("n4"), "/v1/pools/pool-a/steps",
-                       testing::StepSpec(name, kPrompts, kGroup, kMostTokens));
+                       testing::StepSpec(name, kPrompts, kGroup, kMaxTokens));
   step_result result;
   if (opened.status != 200) return result;
   double working = 0;
--- a/packages/controller/view_publisher.cc
+++ b/packages/controller/view_publisher.cc
@@ -16,7 +16,7 @@
 using core::milliseconds;
 using core::time_point;
 
-constexpr milliseconds kLongestWait{5000};
+constexpr milliseconds kMaxWait{5000};
 // A response costs the leader about a tenth of a millisecond. With this time
 // for each follower, it spends at most a tenth of its time on updates, however
 // many endpoints join and leave.
@@ -133,7 +133,7 @@
 }
 
 awaitable<std::string> view_publisher::Answer(fleet::view_request input) {
-  const milliseconds wait = std::min(milliseconds(input.wait_ms), kLongestWait);
+  const milliseconds wait = std::min(milliseconds(input.wait_ms), kMaxWait);
   const time_point until = clock_.Now() + wait;
   const follower_count follower(lists_.followers);
   std::optional<follower_count> store;
--- a/packages/entry/relay.cc
+++ b/packages/entry/relay.cc
@@ -203,7 +203,7 @@
         wire_.EncodeFailure(kTooManyRequests, reason, found.left));
     co_return;
   }
-  for (int attempt = 0; attempt <= routing::kMostRefusals; ++attempt) {
+  for (int attempt = 0; attempt <= routing::kMaxRefusals; ++attempt) {
     const routing::choice_input choice{&view_.endpoints, service,
                                        sender_.OwnZone(), &tried, clock_.Now()};
     const fleet::endpoint* found = routing::ChooseEndpoint(book, choice);
--- a/packages/entry/step_gateway.cc
+++ b/packages/entry/step_gateway.cc
@@ -28,7 +28,7 @@
 // with another leader; after that the caller polls again.
 constexpr milliseconds kReadTimeoutSlack{900};
 constexpr milliseconds kReadAttemptSlack{500};
-constexpr milliseconds kLongestWait{5000};
+constexpr milliseconds kMaxWait{5000};
 constexpr milliseconds kRetryAfter{300};
 constexpr uint64_t kMaxPageBytes = 900 * 1000;
 
@@ -87,7 +87,7 @@
 }
 
 awaitable<net::response> step_gateway::Read(fleet::read_results_call input) {
-  const milliseconds wait = std::min(input.wait, kLongestWait);
+  const milliseconds wait = std::min(input.wait, kMaxWait);
   peering::read_results_request request;
   request.step = std::move(input.step);
   request.after = input.after;
--- a/packages/hickoryd/call_quarantine.cc
+++ b/packages/hickoryd/call_quarantine.cc
@@ -37,7 +37,7 @@
 constexpr milliseconds kExpirePeriod{10000};
 // Limit of the reports queued for one instance, about 100 KB, and of the
 // requests with unconfirmed crashes.
-constexpr size_t kMostReports = 1024;
+constexpr size_t kMaxReports = 1024;
 // Limit of the requests that one crash is attributed to. More than an endpoint
 // runs at once.
 constexpr size_t kMaxRunningRequests = 256;
@@ -64,7 +64,7 @@
 template <typename Item>
 void Append(std::vector<Item>& list, const std::vector<Item>& more) {
   list.insert(list.end(), more.begin(), more.end());
-  if (list.size() > kMostReports) list.resize(kMostReports);
+  if (list.size() > kMaxReports) list.resize(kMaxReports);
 }
 
 void Append(quarantine_news& news, const quarantine_news& more) {
@@ -147,7 +147,7 @@
 }
 
 void call_quarantine::AddUnconfirmed(const fleet::crash_report& report) {
-  if (unconfirmed_.size() >= kMostReports) return;
+  if (unconfirmed_.size() >= kMaxReports) return;
   unconfirmed_[report.digest][report.incarnation] =
       context_.clock.Now() + kConfirmationTime;
 }
--- a/packages/hickoryd/caller_api.cc
+++ b/packages/hickoryd/caller_api.cc
@@ -265,7 +265,7 @@
   if (RejectIfDraining(exchange)) return;
   const auto body = DecodeBody<generate_body>(exchange);
   if (!body) return;
-  if (body->max_tokens < 1 || body->max_tokens > rollout::kMostTokens ||
+  if (body->max_tokens < 1 || body->max_tokens > rollout::kMaxTokens ||
       body->deadline_ms < 0) {
     ReplyInvalid(exchange, "max_tokens or deadline_ms is out of range");
     return;
--- a/packages/hickoryd/explain_log.cc
+++ b/packages/hickoryd/explain_log.cc
@@ -5,7 +5,7 @@
 namespace hickorywood::hickoryd {
 namespace {
 
-constexpr size_t kMostRequests = 4096;
+constexpr size_t kMaxRequests = 4096;
 constexpr size_t kMaxLines = 32;
 
 }  // namespace
@@ -21,7 +21,7 @@
     found->second.push_back(
         {core::ToUnixMillis(clock_.WallNow()), instance_, std::move(text)});
   }
-  while (order_.size() > kMostRequests) {
+  while (order_.size() > kMaxRequests) {
     lines_.erase(order_.front());
     order_.pop_front();
   }
--- a/packages/quarantine/crash_detector.cc
+++ b/packages/quarantine/crash_detector.cc
@@ -36,10 +36,10 @@
 constexpr std::chrono::seconds kMaintenancePeriod{10};
 // Reports that wait to be sent: about 100 KB, which each instance may send to a
 // new leader.
-constexpr size_t kMostReports = 1024;
+constexpr size_t kMaxReports = 1024;
 // Requests that are stored for one crash: more than endpoints run at once.
 // Limits the memory that a caller with many connections can use.
-constexpr size_t kMostRequests = 256;
+constexpr size_t kMaxRequests = 256;
 
 const fleet::endpoint* FindEndpoint(const fleet::view& view,
                                     const std::string& incarnation) {
@@ -124,7 +124,7 @@
                                      affected_request item) {
   unresponsive_endpoint& entry = unresponsive_[target.incarnation];
   entry.endpoint = target;
-  if (entry.requests.size() >= kMostRequests) return;
+  if (entry.requests.size() >= kMaxRequests) return;
   entry.requests.emplace_back(std::move(item), clock_.Now() + kRestartWindow);
 }
 
@@ -149,7 +149,7 @@
                   [&digest](const affected_request& item) {
                     return item.digest == digest;
                   });
-  if (!is_recorded && entry.requests.size() < kMostRequests) {
+  if (!is_recorded && entry.requests.size() < kMaxRequests) {
     entry.requests.push_back({digest, std::string(input.customer)});
   }
   if (HasSuccessor(target)) {
@@ -292,7 +292,7 @@
                                                : *found->second;
     for (const std::string& crash : item.ends) {
       if (Has(warning.ends, crash) || Has(warning.forgiven, crash)) continue;
-      if (outbox_.reports.size() >= kMostReports) return;
+      if (outbox_.reports.size() >= kMaxReports) return;
       outbox_.reports.push_back({digest, item.customer, crash});
     }
     fleet::cleared_crashes cleared{digest, item.customer, {}};
@@ -300,7 +300,7 @@
       if (!Has(warning.forgiven, crash)) cleared.ends.push_back(crash);
     }
     if (cleared.ends.empty()) continue;
-    if (outbox_.forgiven.size() >= kMostReports) return;
+    if (outbox_.forgiven.size() >= kMaxReports) return;
     outbox_.forgiven.push_back(std::move(cleared));
   }
   outbox_changed_.Notify();
@@ -324,14 +324,14 @@
                           update.served.end());
     outbox_.forgiven.insert(outbox_.forgiven.end(), update.forgiven.begin(),
                             update.forgiven.end());
-    if (outbox_.reports.size() > kMostReports) {
-      outbox_.reports.resize(kMostReports);
+    if (outbox_.reports.size() > kMaxReports) {
+      outbox_.reports.resize(kMaxReports);
     }
-    if (outbox_.forgiven.size() > kMostReports) {
-      outbox_.forgiven.resize(kMostReports);
+    if (outbox_.forgiven.size() > kMaxReports) {
+      outbox_.forgiven.resize(kMaxReports);
     }
-    if (outbox_.served.size() > kMostReports) {
-      outbox_.served.resize(kMostReports);
+    if (outbox_.served.size() > kMaxReports) {
+      outbox_.served.resize(kMaxReports);
     }
     co_await net::Sleep(kSendRetryPause);
   }
--- a/packages/quarantine/crash_ledger.cc
+++ b/packages/quarantine/crash_ledger.cc
@@ -22,7 +22,7 @@
 // Eviction removes this fraction (1/n) of one customer's requests at once.
 constexpr size_t kEvictionDivisor = 16;
 // Limits the shift below; `max_duration` is reached before.
-constexpr int kMostDoublings = 16;
+constexpr int kMaxDoublings = 16;
 
 bool Contains(const std::vector<std::string>& crashes,
               const std::string& incarnation) {
@@ -118,7 +118,7 @@
 
 seconds NextQuarantineDuration(const ledger_options& options,
                                const suspect& item) {
-  const int doublings = std::min(item.quarantines, kMostDoublings);
+  const int doublings = std::min(item.quarantines, kMaxDoublings);
   return std::min(options.max_duration,
                   options.base_duration * (1 << doublings));
 }
--- a/packages/rollout/step.cc
+++ b/packages/rollout/step.cc
@@ -147,7 +147,7 @@
     return Fail(reason_code::kInvalid, "at least one prompt is needed");
   }
   if (spec.samples_per_prompt < 1 || spec.max_tokens < 1 ||
-      spec.max_tokens > kMostTokens) {
+      spec.max_tokens > kMaxTokens) {
     return Fail(reason_code::kInvalid,
                 "samples_per_prompt must be positive, and max_tokens must lie "
                 "between 1 and 131072");
@@ -156,8 +156,8 @@
     return Fail(reason_code::kInvalid, "deadline_ms must not be negative");
   }
   const auto prompts = static_cast<int64_t>(spec.prompts.size());
-  if (spec.samples_per_prompt > kMostSlots ||
-      prompts > kMostSlots / spec.samples_per_prompt) {
+  if (spec.samples_per_prompt > kMaxSlots ||
+      prompts > kMaxSlots / spec.samples_per_prompt) {
     return Fail(reason_code::kInvalid, "too many samples in one step");
   }
   return spec;
--- a/packages/rollout/step.h
+++ b/packages/rollout/step.h
@@ -37,8 +37,8 @@
                                                 max_tokens, deadline_ms,
                                                 allow_partial)
 
-constexpr int64_t kMostSlots = 65536;
-constexpr int64_t kMostTokens = 131072;
+constexpr int64_t kMaxSlots = 65536;
+constexpr int64_t kMaxTokens = 131072;
 
 // Returns the spec, or nothing with kInvalid if it can't be run.
 std::optional<step_spec> CheckSpec(const step_spec& spec);
--- a/packages/routing/endpoint_choice.cc
+++ b/packages/routing/endpoint_choice.cc
@@ -24,7 +24,7 @@
 // latencies of different requests vary by this much on the same endpoint.
 constexpr double kNormalLatencyRatio = 1.8;
 constexpr milliseconds kAvoidAfterFailure{300};
-constexpr int kMostDoublings = 4;
+constexpr int kMaxDoublings = 4;
 // A full endpoint has a free slot again after about one request duration.
 constexpr milliseconds kAvoidAfterFull{25};
 
@@ -133,7 +133,7 @@
 void RecordFailure(endpoint_load_table& book, const std::string& incarnation,
                    core::time_point now) {
   endpoint_load& record = book.records[incarnation];
-  const int doublings = std::min(record.failures, kMostDoublings);
+  const int doublings = std::min(record.failures, kMaxDoublings);
   ++record.failures;
   record.avoid_until = now + kAvoidAfterFailure * (1 << doublings);
 }
--- a/packages/routing/request_sender.cc
+++ b/packages/routing/request_sender.cc
@@ -118,7 +118,7 @@
 
 bool request_sender::MayStart(const send_state& state) const {
   if (clock_.Now() >= state.terms.deadline) return false;
-  if (state.refusals > kMostRefusals) return false;
+  if (state.refusals > kMaxRefusals) return false;
   const int count = state.running + state.may_have_run;
   if (count >= state.terms.where.max_attempts) return false;
   if (state.quarantined_for || (state.is_suspected && count > 0)) return false;
--- a/packages/routing/request_sender.h
+++ b/packages/routing/request_sender.h
@@ -32,7 +32,7 @@
 constexpr std::chrono::milliseconds kConnectTimeout{500};
 // Rejections of one request after which it is no longer retried. This bounds
 // how long a request is offered to full endpoints.
-constexpr int kMostRefusals = 4;
+constexpr int kMaxRefusals = 4;
 
 struct send_terms {
   fleet::route where;
--- a/packages/store/dispatch_limits.h
+++ b/packages/store/dispatch_limits.h
@@ -25,7 +25,7 @@
 // Time for which an engine gets no new runs after a failure. Each further
 // failure in a row doubles it.
 constexpr milliseconds kAvoidAfterFailure{250};
-constexpr int kMostDoublings = 4;
+constexpr int kMaxDoublings = 4;
 // Minimum time before a task that an engine rejected is sent again.
 constexpr milliseconds kRetryPause{30};
 // Maximum number of runs that one store is starting at the same time. Starting
--- a/packages/store/dispatcher_runs.cc
+++ b/packages/store/dispatcher_runs.cc
@@ -352,7 +352,7 @@
     if (how == run_end::kComplete) engine.failures = 0;
     return;
   }
-  const int doublings = std::min(engine.failures, kMostDoublings);
+  const int doublings = std::min(engine.failures, kMaxDoublings);
   ++engine.failures;
   engine.avoid_until = clock_.Now() + kAvoidAfterFailure * (1 << doublings);
 }
--- a/packages/store/step_service.cc
+++ b/packages/store/step_service.cc
@@ -35,7 +35,7 @@
 // several steps, so a few times this size is decoded, which takes a small
 // instance some 50 ms.
 constexpr uint64_t kMaxDiskPageBytes = 150 * 1000;
-constexpr milliseconds kLongestWait{5000};
+constexpr milliseconds kMaxWait{5000};
 
 envelope NoSuch(const std::string& what) {
   return {call_outcome::kNotFound, "", "no such " + what, ""};
@@ -114,8 +114,7 @@
 awaitable<envelope> step_service::ReadResults(std::string payload) {
   const auto input = core::DecodeBinary<peering::read_results_request>(payload);
   if (!input) co_return Malformed();
-  const milliseconds wait =
-      std::min(milliseconds(input->wait_ms), kLongestWait);
+  const milliseconds wait = std::min(milliseconds(input->wait_ms), kMaxWait);
   const time_point until = clock_.Now() + wait;
   for (;;) {
     if (!group_.IsServing()) co_return NotLeader();
