--- a/packages/hickoryd/step_service.cc
+++ b/packages/hickoryd/step_service.cc
@@ -105,7 +105,7 @@
   generation_callbacks callbacks;
   callbacks.on_progress = [step, launch](const rollout::generated_text& so_far,
                                          const std::string& /*piece*/) {
-    rollout::NoteProgress(step->run, launch.slot, launch.attempt, so_far);
+    rollout::RecordProgress(step->run, launch.slot, launch.attempt, so_far);
   };
   callbacks.on_done = [this, step, launch](const generation_result& result) {
     HandleSampleResult(step, launch, result);
@@ -125,7 +125,7 @@
   if (step->is_stopped) return;
   const core::time_point now = context_.clock.Now();
   if (!result.is_complete || !rollout::IsLabelComplete(result.generated)) {
-    rollout::NoteFailed(
+    rollout::RecordFailed(
         step->run, launch.slot, launch.attempt, now,
         result.was_quarantined ? kQuarantinedPause : kFailedSamplePause);
     return;
@@ -137,7 +137,7 @@
   sample.generated = result.generated;
   sample.engine = result.engine;
   const rollout::completion_result outcome =
-      rollout::NoteComplete(step->run, launch.attempt, sample, now);
+      rollout::RecordComplete(step->run, launch.attempt, sample, now);
   for (const uint64_t loser : outcome.cancel_attempts) {
     const auto running = step->generations.find(loser);
     if (running == step->generations.end()) continue;
@@ -153,8 +153,8 @@
     // must not be delivered from a single copy.
     step->run.slots[static_cast<size_t>(sample.slot)].state =
         rollout::slot_state::kRunning;
-    rollout::NoteFailed(step->run, sample.slot, launch.attempt, now,
-                        kFailedSamplePause);
+    rollout::RecordFailed(step->run, sample.slot, launch.attempt, now,
+                          kFailedSamplePause);
     return;
   }
   step->to_replicate.push_back(sample.slot);
@@ -166,7 +166,7 @@
   if (step->to_replicate.empty() || step->is_copying) return;
   if (bodies_.IsAlone()) {
     for (const int64_t slot : step->to_replicate) {
-      rollout::NoteReplicated(step->run, slot);
+      rollout::RecordReplicated(step->run, slot);
     }
     step->to_replicate.clear();
     return;
@@ -191,7 +191,8 @@
     step->is_copying = false;
     if (step->is_stopped) return;
     if (is_held) {
-      for (const int64_t slot : slots) rollout::NoteReplicated(step->run, slot);
+      for (const int64_t slot : slots)
+        rollout::RecordReplicated(step->run, slot);
       ServePulls(step);
       return;
     }
--- a/packages/hickoryd/step_takeover.cc
+++ b/packages/hickoryd/step_takeover.cc
@@ -461,7 +461,7 @@
         step->run.slots[static_cast<size_t>(held.slot)].state ==
         rollout::slot_state::kComplete;
     if (needs_second_copy && !work->backup.empty()) {
-      rollout::NoteReplicated(step->run, held.slot);
+      rollout::RecordReplicated(step->run, held.slot);
     }
     if (needs_second_copy && work->backup.empty()) {
       step->to_replicate.push_back(held.slot);
--- a/packages/rollout/step.cc
+++ b/packages/rollout/step.cc
@@ -196,15 +196,15 @@
   return launches;
 }
 
-void NoteProgress(step_run& step, int64_t slot_index, uint64_t attempt_id,
-                  const generated_text& so_far) {
+void RecordProgress(step_run& step, int64_t slot_index, uint64_t attempt_id,
+                    const generated_text& so_far) {
   attempt* running =
       FindAttempt(step.slots[static_cast<size_t>(slot_index)], attempt_id);
   if (running != nullptr) running->so_far = so_far;
 }
 
-completion_result NoteComplete(step_run& step, uint64_t attempt_id,
-                               const sample& result, time_point now) {
+completion_result RecordComplete(step_run& step, uint64_t attempt_id,
+                                 const sample& result, time_point now) {
   completion_result outcome;
   slot& item = step.slots[static_cast<size_t>(result.slot)];
   const attempt* winner = FindAttempt(item, attempt_id);
@@ -228,8 +228,8 @@
   return outcome;
 }
 
-void NoteFailed(step_run& step, int64_t slot_index, uint64_t attempt_id,
-                time_point now, milliseconds pause) {
+void RecordFailed(step_run& step, int64_t slot_index, uint64_t attempt_id,
+                  time_point now, milliseconds pause) {
   const auto index = static_cast<size_t>(slot_index);
   slot& item = step.slots[index];
   if (item.state != slot_state::kRunning) return;
@@ -239,7 +239,7 @@
   item.not_before = now + pause;
 }
 
-void NoteReplicated(step_run& step, int64_t slot_index) {
+void RecordReplicated(step_run& step, int64_t slot_index) {
   step.slots[static_cast<size_t>(slot_index)].is_replicated = true;
 }
 
--- a/packages/rollout/step.h
+++ b/packages/rollout/step.h
@@ -112,8 +112,8 @@
 std::vector<launch> NextLaunches(step_run& step, const hedge_policy& policy,
                                  time_point now, size_t limit);
 
-void NoteProgress(step_run& step, int64_t slot, uint64_t attempt,
-                  const generated_text& so_far);
+void RecordProgress(step_run& step, int64_t slot, uint64_t attempt,
+                    const generated_text& so_far);
 
 // Outcome of a completed attempt.
 struct completion_result {
@@ -122,15 +122,15 @@
   std::vector<uint64_t> cancel_attempts;
 };
 
-completion_result NoteComplete(step_run& step, uint64_t attempt,
-                               const sample& result, time_point now);
+completion_result RecordComplete(step_run& step, uint64_t attempt,
+                                 const sample& result, time_point now);
 
 // Records that an attempt ended without a sample. The slot is retried after
 // `pause`.
-void NoteFailed(step_run& step, int64_t slot, uint64_t attempt, time_point now,
-                milliseconds pause);
+void RecordFailed(step_run& step, int64_t slot, uint64_t attempt,
+                  time_point now, milliseconds pause);
 
-void NoteReplicated(step_run& step, int64_t slot);
+void RecordReplicated(step_run& step, int64_t slot);
 
 // Restores a sample from another instance's copy, after a takeover of the step.
 void RestoreSample(step_run& step, const sample& result);
--- a/tests/unit/rollout/step_test.cc
+++ b/tests/unit/rollout/step_test.cc
@@ -43,10 +43,10 @@
   const auto launches = NextLaunches(step, {}, kStart, 10);
   ASSERT_EQ(launches.size(), 4U);
   for (const launch& item : launches) {
-    NoteComplete(step, item.attempt, Sample(item.slot, 1), kStart);
+    RecordComplete(step, item.attempt, Sample(item.slot, 1), kStart);
   }
   EXPECT_TRUE(FormBatch(step, 1, 2, 10).slots.empty());
-  for (const int64_t slot : {0, 1, 2}) NoteReplicated(step, slot);
+  for (const int64_t slot : {0, 1, 2}) RecordReplicated(step, slot);
   EXPECT_EQ(FormBatch(step, 1, 2, 10).slots, (std::vector<int64_t>{0, 1}));
 }
 
@@ -55,8 +55,8 @@
 TEST(StepTest, StaleSampleIsGeneratedAgain) {
   step_run step = StartStep(Spec(1, 1), 1, kStart);
   const launch first = NextLaunches(step, {}, kStart, 1).front();
-  NoteComplete(step, first.attempt, Sample(0, 1), kStart);
-  NoteReplicated(step, 0);
+  RecordComplete(step, first.attempt, Sample(0, 1), kStart);
+  RecordReplicated(step, 0);
   const formed_batch batch = FormBatch(step, 4, 2, 10);
   EXPECT_TRUE(batch.slots.empty());
   EXPECT_EQ(batch.discarded, std::vector<int64_t>{0});
@@ -70,26 +70,26 @@
   step_run step = StartStep(Spec(8, 1), 1, kStart);
   const auto launches = NextLaunches(step, {}, kStart, 8);
   for (size_t i = 0; i < 7; ++i) {
-    NoteComplete(step, launches[i].attempt, Sample(launches[i].slot, 1, 1000),
-                 kStart + milliseconds(100));
+    RecordComplete(step, launches[i].attempt, Sample(launches[i].slot, 1, 1000),
+                   kStart + milliseconds(100));
   }
-  NoteProgress(step, 7, launches[7].attempt, Text(1, 900));
+  RecordProgress(step, 7, launches[7].attempt, Text(1, 900));
   EXPECT_TRUE(NextLaunches(step, {}, kStart + milliseconds(200), 8).empty());
   const auto hedges = NextLaunches(step, {}, kStart + milliseconds(251), 8);
   ASSERT_EQ(hedges.size(), 1U);
   EXPECT_TRUE(hedges[0].is_hedge);
   EXPECT_EQ(hedges[0].resume.token_count, 900);
   EXPECT_TRUE(NextLaunches(step, {}, kStart + milliseconds(300), 8).empty());
-  NoteProgress(step, 7, launches[7].attempt, Text(1, 950));
-  const completion_result won = NoteComplete(
+  RecordProgress(step, 7, launches[7].attempt, Text(1, 950));
+  const completion_result won = RecordComplete(
       step, hedges[0].attempt, Sample(7, 1, 1000), kStart + milliseconds(400));
   EXPECT_TRUE(won.is_accepted);
   EXPECT_EQ(won.cancel_attempts, std::vector<uint64_t>{launches[7].attempt});
   EXPECT_EQ(step.hedge_tokens,
             50);  // tokens that the original generated after the hedge resumed
                   // its text
-  EXPECT_FALSE(NoteComplete(step, launches[7].attempt, Sample(7, 1),
-                            kStart + milliseconds(500))
+  EXPECT_FALSE(RecordComplete(step, launches[7].attempt, Sample(7, 1),
+                              kStart + milliseconds(500))
                    .is_accepted);
 }
 
@@ -97,8 +97,8 @@
   step_run step = StartStep(Spec(20, 1), 1, kStart);
   const auto launches = NextLaunches(step, {}, kStart, 20);
   for (size_t i = 0; i < 10; ++i) {
-    NoteComplete(step, launches[i].attempt, Sample(launches[i].slot, 1, 100),
-                 kStart + milliseconds(10));
+    RecordComplete(step, launches[i].attempt, Sample(launches[i].slot, 1, 100),
+                   kStart + milliseconds(10));
   }
   // 5% of 1000 tokens are less than one hedge of 100 expected tokens.
   EXPECT_TRUE(NextLaunches(step, {}, kStart + milliseconds(1000), 20).empty());
@@ -143,18 +143,18 @@
       case 2:
       case 3:
         if (running.empty()) break;
-        NoteComplete(step, running[which].attempt,
-                     Sample(running[which].slot, version), now);
+        RecordComplete(step, running[which].attempt,
+                       Sample(running[which].slot, version), now);
         running.erase(running.begin() + static_cast<std::ptrdiff_t>(which));
         break;
       case 4:
         if (running.empty()) break;
-        NoteFailed(step, running[which].slot, running[which].attempt, now,
-                   milliseconds(5));
+        RecordFailed(step, running[which].slot, running[which].attempt, now,
+                     milliseconds(5));
         running.erase(running.begin() + static_cast<std::ptrdiff_t>(which));
         break;
       case 5:
-        for (int64_t slot = 0; slot < 10; ++slot) NoteReplicated(step, slot);
+        for (int64_t slot = 0; slot < 10; ++slot) RecordReplicated(step, slot);
         version += action % 3 == 0 ? 1 : 0;
         break;
       default: {
