--- a/packages/hickoryd/body_holder.cc
+++ b/packages/hickoryd/body_holder.cc
@@ -21,26 +21,26 @@
 
 void body_holder::Start() {
   context_.traffic.Every(kSweepPeriod, [this] {
-    rollout::DropIdle(store_, context_.clock.Now(), kIdleTime);
+    rollout::EvictIdleSteps(store_, context_.clock.Now(), kIdleTime);
   });
 }
 
 bool body_holder::Apply(const held_bodies& bodies) {
   const core::time_point now = context_.clock.Now();
   if (bodies.is_step_dropped) {
-    rollout::DropStep(store_, bodies.step_key);
+    rollout::RemoveStep(store_, bodies.step_key);
     return true;
   }
   for (const int64_t slot : bodies.dropped) {
-    rollout::DropSample(store_, bodies.step_key, slot);
+    rollout::RemoveSample(store_, bodies.step_key, slot);
   }
   if (!bodies.spec.empty() &&
-      !rollout::HoldSpec(store_, bodies.step_key, bodies.spec, now)) {
+      !rollout::StoreSpec(store_, bodies.step_key, bodies.spec, now)) {
     return false;
   }
   for (const held_sample& sample : bodies.samples) {
-    if (!rollout::HoldSample(store_, bodies.step_key, sample.slot, sample.body,
-                             now)) {
+    if (!rollout::StoreSample(store_, bodies.step_key, sample.slot, sample.body,
+                              now)) {
       return false;
     }
   }
@@ -50,7 +50,7 @@
 held_bodies body_holder::Get(const std::string& step_key) const {
   held_bodies bodies;
   bodies.step_key = step_key;
-  const rollout::held_step* held = rollout::FindHeld(store_, step_key);
+  const rollout::stored_step* held = rollout::FindStoredStep(store_, step_key);
   if (held == nullptr) return bodies;
   bodies.spec = held->spec;
   for (const auto& [slot, body] : held->samples) {
@@ -61,7 +61,7 @@
 
 const std::string* body_holder::FindSample(const std::string& step_key,
                                            int64_t slot) const {
-  const rollout::held_step* held = rollout::FindHeld(store_, step_key);
+  const rollout::stored_step* held = rollout::FindStoredStep(store_, step_key);
   if (held == nullptr) return nullptr;
   const auto found = held->samples.find(slot);
   return found == held->samples.end() ? nullptr : &found->second;
--- a/packages/rollout/body_store.cc
+++ b/packages/rollout/body_store.cc
@@ -12,7 +12,7 @@
   return true;
 }
 
-size_t SizeOf(const held_step& step) {
+size_t SizeOf(const stored_step& step) {
   size_t bytes = step.spec.size();
   for (const auto& item : step.samples) bytes += item.second.size();
   return bytes;
@@ -20,21 +20,22 @@
 
 }  // namespace
 
-bool HoldSpec(body_store& store, const std::string& step_key,
-              const std::string& spec, core::time_point now) {
-  held_step& step = store.steps[step_key];
+bool StoreSpec(body_store& store, const std::string& step_key,
+               const std::string& spec, core::time_point now) {
+  stored_step& step = store.steps[step_key];
   step.touched_at = now;
   return Replace(store, step.spec, spec);
 }
 
-bool HoldSample(body_store& store, const std::string& step_key, int64_t slot,
-                const std::string& body, core::time_point now) {
-  held_step& step = store.steps[step_key];
+bool StoreSample(body_store& store, const std::string& step_key, int64_t slot,
+                 const std::string& body, core::time_point now) {
+  stored_step& step = store.steps[step_key];
   step.touched_at = now;
   return Replace(store, step.samples[slot], body);
 }
 
-void DropSample(body_store& store, const std::string& step_key, int64_t slot) {
+void RemoveSample(body_store& store, const std::string& step_key,
+                  int64_t slot) {
   const auto found = store.steps.find(step_key);
   if (found == store.steps.end()) return;
   const auto body = found->second.samples.find(slot);
@@ -43,24 +44,24 @@
   found->second.samples.erase(body);
 }
 
-void DropStep(body_store& store, const std::string& step_key) {
+void RemoveStep(body_store& store, const std::string& step_key) {
   const auto found = store.steps.find(step_key);
   if (found == store.steps.end()) return;
   store.bytes -= SizeOf(found->second);
   store.steps.erase(found);
 }
 
-void DropIdle(body_store& store, core::time_point now,
-              core::milliseconds idle) {
+void EvictIdleSteps(body_store& store, core::time_point now,
+                    core::milliseconds idle) {
   std::vector<std::string> old;
   for (const auto& item : store.steps) {
     if (now - item.second.touched_at > idle) old.push_back(item.first);
   }
-  for (const std::string& key : old) DropStep(store, key);
+  for (const std::string& key : old) RemoveStep(store, key);
 }
 
-const held_step* FindHeld(const body_store& store,
-                          const std::string& step_key) {
+const stored_step* FindStoredStep(const body_store& store,
+                                  const std::string& step_key) {
   const auto found = store.steps.find(step_key);
   return found == store.steps.end() ? nullptr : &found->second;
 }
--- a/packages/rollout/body_store.h
+++ b/packages/rollout/body_store.h
@@ -18,7 +18,7 @@
 namespace hickorywood::rollout {
 
 // Everything stored for one step.
-struct held_step {
+struct stored_step {
   std::string spec;                        // step_spec as JSON
   std::map<int64_t, std::string> samples;  // sample as JSON, by slot
   core::time_point touched_at{};
@@ -27,22 +27,24 @@
 struct body_store {
   size_t byte_limit = 0;
   size_t bytes = 0;
-  std::map<std::string, held_step> steps;  // by "pool/step"
+  std::map<std::string, stored_step> steps;  // by "pool/step"
 };
 
 // Return false, and store nothing, if the limit is reached.
-bool HoldSpec(body_store& store, const std::string& step_key,
-              const std::string& spec, core::time_point now);
-bool HoldSample(body_store& store, const std::string& step_key, int64_t slot,
-                const std::string& body, core::time_point now);
+bool StoreSpec(body_store& store, const std::string& step_key,
+               const std::string& spec, core::time_point now);
+bool StoreSample(body_store& store, const std::string& step_key, int64_t slot,
+                 const std::string& body, core::time_point now);
 
-void DropSample(body_store& store, const std::string& step_key, int64_t slot);
-void DropStep(body_store& store, const std::string& step_key);
+void RemoveSample(body_store& store, const std::string& step_key, int64_t slot);
+void RemoveStep(body_store& store, const std::string& step_key);
 
 // Removes steps that have not been accessed for `idle`.
-void DropIdle(body_store& store, core::time_point now, core::milliseconds idle);
+void EvictIdleSteps(body_store& store, core::time_point now,
+                    core::milliseconds idle);
 
-const held_step* FindHeld(const body_store& store, const std::string& step_key);
+const stored_step* FindStoredStep(const body_store& store,
+                                  const std::string& step_key);
 
 }  // namespace hickorywood::rollout
 
--- a/tests/unit/rollout/step_test.cc
+++ b/tests/unit/rollout/step_test.cc
@@ -188,12 +188,12 @@
 TEST(BodyStoreTest, LimitIsEnforcedAndReleased) {
   body_store store;
   store.byte_limit = 100;
-  EXPECT_TRUE(HoldSpec(store, "a", std::string(40, 'x'), kStart));
-  EXPECT_TRUE(HoldSample(store, "a", 1, std::string(60, 'x'), kStart));
-  EXPECT_FALSE(HoldSample(store, "a", 2, "x", kStart));
-  DropSample(store, "a", 1);
-  EXPECT_TRUE(HoldSample(store, "a", 2, std::string(60, 'x'), kStart));
-  DropIdle(store, kStart + milliseconds(10), milliseconds(5));
+  EXPECT_TRUE(StoreSpec(store, "a", std::string(40, 'x'), kStart));
+  EXPECT_TRUE(StoreSample(store, "a", 1, std::string(60, 'x'), kStart));
+  EXPECT_FALSE(StoreSample(store, "a", 2, "x", kStart));
+  RemoveSample(store, "a", 1);
+  EXPECT_TRUE(StoreSample(store, "a", 2, std::string(60, 'x'), kStart));
+  EvictIdleSteps(store, kStart + milliseconds(10), milliseconds(5));
   EXPECT_EQ(store.bytes, 0U);
 }
 
