--- a/packages/steps/step.cc
+++ b/packages/steps/step.cc
@@ -36,7 +36,7 @@
   if (tree.contains("path")) output.request = tree.get<task_request>();
 }
 
-bool OpenStep(step_book& table, submission input, int64_t now_ms,
+bool OpenStep(step_table& table, submission input, int64_t now_ms,
               uint64_t index) {
   const std::string id = input.id;
   step opened;
@@ -52,7 +52,7 @@
       [task](const task_result& item) { return item.task == task; });
 }
 
-size_t AddResults(step_book& table, const std::string& id,
+size_t AddResults(step_table& table, const std::string& id,
                   std::vector<task_result> results, uint64_t index) {
   const auto found = table.find(id);
   if (found == table.end()) return 0;
@@ -72,7 +72,7 @@
   return added;
 }
 
-void AddProgress(step_book& table, const std::string& id,
+void AddProgress(step_table& table, const std::string& id,
                  std::vector<task_progress> progress) {
   const auto found = table.find(id);
   if (found == table.end() || found->second.is_ended) return;
@@ -94,7 +94,7 @@
   }
 }
 
-bool EndStep(step_book& table, const std::string& id) {
+bool EndStep(step_table& table, const std::string& id) {
   const auto found = table.find(id);
   if (found == table.end()) return false;
   step& owner = found->second;
@@ -104,7 +104,7 @@
   return true;
 }
 
-void LeaveOldOutputs(step_book& table, size_t budget) {
+void EvictOldOutputs(step_table& table, size_t budget) {
   std::vector<step*> ended;
   for (auto& item : table) {
     if (item.second.is_ended) ended.push_back(&item.second);
@@ -121,7 +121,7 @@
   }
 }
 
-bool TakeOutput(task_result& item, std::string output) {
+bool RestoreOutput(task_result& item, std::string output) {
   const bool is_unchanged = output.size() == item.bytes_on_disk &&
                             core::Hash64(output) == item.hash_on_disk;
   if (!is_unchanged) {
@@ -134,7 +134,7 @@
   return true;
 }
 
-void ForgetSteps(step_book& table, int64_t limit_ms, int64_t oldest_ms) {
+void RemoveSteps(step_table& table, int64_t limit_ms, int64_t oldest_ms) {
   std::erase_if(table, [&](const auto& item) {
     const step& owner = item.second;
     return owner.opened_ms < (owner.is_ended ? limit_ms : oldest_ms);
--- a/packages/steps/step.h
+++ b/packages/steps/step.h
@@ -110,41 +110,41 @@
                                                 text)
 
 // Steps by id.
-using step_book = std::map<std::string, step>;
+using step_table = std::map<std::string, step>;
 
 // Opens a step with the log entry `index`. Returns false and changes nothing if
 // a step with this id is open already.
-bool OpenStep(step_book& table, submission input, int64_t now_ms,
+bool OpenStep(step_table& table, submission input, int64_t now_ms,
               uint64_t index);
 
 // Assigns the next positions to the results of the log entry `index`. A task
 // that has a result keeps it: further results of it are ignored. Returns the
 // number of results that were added.
-size_t AddResults(step_book& table, const std::string& id,
+size_t AddResults(step_table& table, const std::string& id,
                   std::vector<task_result> results, uint64_t index);
 
 // Adds text to tasks that have no result. Ignores text that does not continue
 // the stored one.
-void AddProgress(step_book& table, const std::string& id,
+void AddProgress(step_table& table, const std::string& id,
                  std::vector<task_progress> progress);
 
 // Returns false if there is no such step.
-bool EndStep(step_book& table, const std::string& id);
+bool EndStep(step_table& table, const std::string& id);
 
 // Releases the memory of outputs of ended steps beyond `budget` bytes; they
 // stay on disk. The newest steps keep their outputs in memory. The trainers of
 // ended steps have read the results that they need, and the texts of two
 // minutes are most of what a store has in memory.
-void LeaveOldOutputs(step_book& table, size_t budget);
+void EvictOldOutputs(step_table& table, size_t budget);
 
 // Sets the output of a result that is about to be returned to the copy read
 // from disk. Returns false with reason kCorrupt if the copy has another size or
 // hash than the released output.
-bool TakeOutput(task_result& item, std::string output);
+bool RestoreOutput(task_result& item, std::string output);
 
 // Removes ended steps that were opened before `limit_ms`, and open steps that
 // were opened before `oldest_ms`.
-void ForgetSteps(step_book& table, int64_t limit_ms, int64_t oldest_ms);
+void RemoveSteps(step_table& table, int64_t limit_ms, int64_t oldest_ms);
 
 bool HasResult(const step& owner, uint32_t task);
 
--- a/packages/store/step_service.cc
+++ b/packages/store/step_service.cc
@@ -157,7 +157,8 @@
       outputs = std::move(*found);
       index = item.index;
     }
-    if (!steps::TakeOutput(item, std::move(outputs[item.task]))) return false;
+    if (!steps::RestoreOutput(item, std::move(outputs[item.task])))
+      return false;
   }
   return true;
 }
--- a/packages/store/step_state.cc
+++ b/packages/store/step_state.cc
@@ -42,7 +42,7 @@
 void ForgetSteps(step_state::content& state, const std::string& payload) {
   const auto input = core::DecodeBinary<remove_steps_command>(payload);
   if (!input) return;
-  steps::ForgetSteps(state.steps, input->ended_before_ms,
+  steps::RemoveSteps(state.steps, input->ended_before_ms,
                      input->opened_before_ms);
 }
 
@@ -62,7 +62,7 @@
     AddProgress(content_, input.payload);
   } else if (input.name == kEndStepCommand) {
     EndStep(content_, input.payload);
-    steps::LeaveOldOutputs(content_.steps, output_budget_);
+    steps::EvictOldOutputs(content_.steps, output_budget_);
   } else if (input.name == kRemoveStepsCommand) {
     ForgetSteps(content_, input.payload);
   } else if (input.name == kRetireCommand) {
--- a/packages/store/step_state.h
+++ b/packages/store/step_state.h
@@ -74,14 +74,14 @@
   // the texts of two minutes took several times their memory while it was made.
   consensus::saved_state Save(uint64_t applied) const override;
 
-  const steps::step_book& Steps() const { return content_.steps; }
+  const steps::step_table& Steps() const { return content_.steps; }
   // Returns nullptr if there is no such step.
   const steps::step* Find(const std::string& id) const;
   // Peer addresses of the stores that are being retired.
   const std::set<std::string>& Retired() const { return content_.retired; }
 
   struct content {
-    steps::step_book steps;
+    steps::step_table steps;
     std::set<std::string> retired;
   };
 
--- a/tests/unit/steps/steps_test.cc
+++ b/tests/unit/steps/steps_test.cc
@@ -34,8 +34,8 @@
 
 // A trainer repeats a submission whose response was lost. The step is opened
 // once, and its tasks and results stay.
-TEST(StepBookTest, RepeatedSubmissionChangesNothing) {
-  step_book table;
+TEST(StepTableTest, RepeatedSubmissionChangesNothing) {
+  step_table table;
   EXPECT_TRUE(OpenStep(table, MakeSubmission("s", 2), 100, 1));
   AddResults(table, "s", {Result(1, "text")}, 0);
   EXPECT_FALSE(OpenStep(table, MakeSubmission("s", 5), 200, 1));
@@ -45,8 +45,8 @@
 
 // Two leaders commit a result of the same task with different texts. The task
 // keeps the position and the text of the first one.
-TEST(StepBookTest, TaskHasOnePosition) {
-  step_book table;
+TEST(StepTableTest, TaskHasOnePosition) {
+  step_table table;
   OpenStep(table, MakeSubmission("s", 2), 0, 1);
   EXPECT_EQ(AddResults(table, "s", {Result(1, "first")}, 0), 1U);
   EXPECT_EQ(
@@ -63,8 +63,8 @@
 // leader finds that they are complete, so it requests the score and does not
 // run the task again. Once a task has its result, or its step has ended, its
 // reward request is removed.
-TEST(StepBookTest, CompleteTextIsStoredUntilItsScoreArrives) {
-  step_book table;
+TEST(StepTableTest, CompleteTextIsStoredUntilItsScoreArrives) {
+  step_table table;
   submission input = MakeSubmission("s", 2);
   for (task& item : input.tasks) {
     item.request->reward = {"r", "h", "/r/", "body"};
@@ -94,7 +94,7 @@
 // Guards against a removed request that is decoded as an empty one from a
 // snapshot or a message, and against losing a request that an earlier release
 // encoded.
-TEST(StepBookTest, RemovedRequestDiffersFromAnEmptyOne) {
+TEST(StepTableTest, RemovedRequestDiffersFromAnEmptyOne) {
   task empty;
   empty.id = "t";
   empty.request.emplace();
@@ -145,8 +145,8 @@
 // The leader of a step is lost in the middle of a long text. The next leader
 // has the committed part; parts that do not continue it are ignored, and a
 // result removes it.
-TEST(StepBookTest, ProgressOfLongTasks) {
-  step_book table;
+TEST(StepTableTest, ProgressOfLongTasks) {
+  step_table table;
   OpenStep(table, MakeSubmission("s", 2), 0, 1);
   task_progress first;
   first.task = 1;
@@ -165,8 +165,8 @@
   EXPECT_TRUE(table.at("s").progress.empty());
 }
 
-TEST(StepBookTest, PagesHaveAResultAndALimit) {
-  step_book table;
+TEST(StepTableTest, PagesHaveAResultAndALimit) {
+  step_table table;
   OpenStep(table, MakeSubmission("s", 3), 0, 1);
   AddResults(
       table, "s",
@@ -179,14 +179,14 @@
   EXPECT_EQ(ReadPage(table.at("s"), 9, 1000).next, 9U);
 }
 
-TEST(StepBookTest, EndedStepsAreRemovedAfterTheirRetention) {
-  step_book table;
+TEST(StepTableTest, EndedStepsAreRemovedAfterTheirRetention) {
+  step_table table;
   OpenStep(table, MakeSubmission("ended", 1), 100, 1);
   OpenStep(table, MakeSubmission("open", 1), 100, 1);
   EndStep(table, "ended");
-  ForgetSteps(table, 100, 0);
+  RemoveSteps(table, 100, 0);
   EXPECT_EQ(table.size(), 2U);
-  ForgetSteps(table, 101, 0);
+  RemoveSteps(table, 101, 0);
   EXPECT_EQ(table.count("ended"), 0U);
   EXPECT_EQ(table.count("open"), 1U);
 }
--- a/tests/unit/store/step_state_test.cc
+++ b/tests/unit/store/step_state_test.cc
@@ -116,10 +116,10 @@
       steps::ReadPage(*state.Find("s"), 0, kOutputBudgetBytes);
   ASSERT_EQ(page.results.size(), 1U);
   steps::task_result& item = page.results[0];
-  EXPECT_FALSE(steps::TakeOutput(item, ""));
-  EXPECT_FALSE(steps::TakeOutput(item, "two text"));
+  EXPECT_FALSE(steps::RestoreOutput(item, ""));
+  EXPECT_FALSE(steps::RestoreOutput(item, "two text"));
   EXPECT_TRUE(item.output.empty());
-  EXPECT_TRUE(steps::TakeOutput(item, "one text"));
+  EXPECT_TRUE(steps::RestoreOutput(item, "one text"));
   EXPECT_EQ(item.output, "one text");
 }
 
