--- a/packages/steps/event_text.cc
+++ b/packages/steps/event_text.cc
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-std::optional<event_fields> TakeEvent(std::string& buffer) {
+std::optional<event_fields> ExtractEvent(std::string& buffer) {
   const size_t end = buffer.find(kEventDelimiter);
   if (end == std::string::npos) return std::nullopt;
   event_fields fields;
@@ -52,9 +52,9 @@
          HasVersion(text, *version);
 }
 
-event_verdict AddEvent(generated_text& text, const event_fields& fields,
-                       const text_rules& rules, const version_reader& read,
-                       std::optional<uint64_t>& run_version) {
+event_check AddEvent(generated_text& text, const event_fields& fields,
+                     const text_rules& rules, const version_reader& read,
+                     std::optional<uint64_t>& run_version) {
   for (const auto& [field, value] : fields) {
     const std::optional<uint64_t> version = read(field, value);
     if (version) run_version = version;
@@ -64,17 +64,17 @@
   uint64_t id = 0;
   const bool is_next = id_text != nullptr && data != nullptr &&
                        absl::SimpleAtoi(*id_text, &id) && id == text.events + 1;
-  if (!is_next) return event_verdict::kSpoiled;
+  if (!is_next) return event_check::kSpoiled;
   if (run_version) {
-    if (*run_version < rules.minimum_version) return event_verdict::kTooOld;
-    if (!MayContinue(text, rules, run_version)) return event_verdict::kMixed;
+    if (*run_version < rules.minimum_version) return event_check::kTooOld;
+    if (!MayContinue(text, rules, run_version)) return event_check::kMixed;
     if (!HasVersion(text, *run_version)) {
       text.versions.push_back(*run_version);
     }
   }
   text.events = id;
   text.data.push_back(*data);
-  return event_verdict::kTaken;
+  return event_check::kTaken;
 }
 
 std::string JoinText(const generated_text& text) {
--- a/packages/steps/event_text.h
+++ b/packages/steps/event_text.h
@@ -23,7 +23,7 @@
 
 // Removes the first complete event from `buffer` and returns it. Returns
 // nothing if there is none yet.
-std::optional<event_fields> TakeEvent(std::string& buffer);
+std::optional<event_fields> ExtractEvent(std::string& buffer);
 
 struct generated_text {
   uint64_t events = 0;  // accepted so far; also the id of the last one
@@ -38,7 +38,7 @@
 using version_reader = std::function<std::optional<uint64_t>(
     const std::string& field, const std::string& value)>;
 
-enum class event_verdict {
+enum class event_check {
   kTaken,
   kSpoiled,  // not the next event, or malformed
   kTooOld,   // generated under a version below the minimum
@@ -52,9 +52,9 @@
 
 // Adds one event. `run_version` is the version of the run; an event that
 // contains another version changes it from this event on.
-event_verdict AddEvent(generated_text& text, const event_fields& fields,
-                       const text_rules& rules, const version_reader& read,
-                       std::optional<uint64_t>& run_version);
+event_check AddEvent(generated_text& text, const event_fields& fields,
+                     const text_rules& rules, const version_reader& read,
+                     std::optional<uint64_t>& run_version);
 
 // Whether a run under `version` may continue this text.
 bool MayContinue(const generated_text& text, const text_rules& rules,
--- a/packages/store/task_runner.cc
+++ b/packages/store/task_runner.cc
@@ -109,14 +109,14 @@
   report.run = self.order.run;
   const uint64_t events_before = self.text.events;
   std::optional<run_end> event_failure;
-  while (const auto fields = steps::TakeEvent(buffer)) {
-    const steps::event_verdict verdict =
+  while (const auto fields = steps::ExtractEvent(buffer)) {
+    const steps::event_check verdict =
         steps::AddEvent(self.text, *fields, self.rules, read, version);
-    if (verdict == steps::event_verdict::kSpoiled) {
+    if (verdict == steps::event_check::kSpoiled) {
       event_failure = run_end::kBroken;
       break;
     }
-    if (verdict != steps::event_verdict::kTaken) {
+    if (verdict != steps::event_check::kTaken) {
       event_failure = run_end::kUnusable;
       break;
     }
--- a/tests/unit/steps/steps_test.cc
+++ b/tests/unit/steps/steps_test.cc
@@ -198,10 +198,10 @@
   return std::stoull(value);
 };
 
-event_verdict Add(generated_text& text, const std::string& frame,
-                  const text_rules& rules, std::optional<uint64_t>& version) {
+event_check Add(generated_text& text, const std::string& frame,
+                const text_rules& rules, std::optional<uint64_t>& version) {
   std::string buffer = frame + "\n\n";
-  return AddEvent(text, *TakeEvent(buffer), rules, kRead, version);
+  return AddEvent(text, *ExtractEvent(buffer), rules, kRead, version);
 }
 
 // An event is lost, arrives twice, or has no data. The text stays as it was, so
@@ -209,12 +209,12 @@
 TEST(EventTextTest, OnlyTheNextEventIsAccepted) {
   generated_text text;
   std::optional<uint64_t> version = 3;
-  EXPECT_EQ(Add(text, "id: 1\ndata: a", {}, version), event_verdict::kTaken);
-  EXPECT_EQ(Add(text, "id: 3\ndata: c", {}, version), event_verdict::kSpoiled);
-  EXPECT_EQ(Add(text, "id: 1\ndata: a", {}, version), event_verdict::kSpoiled);
-  EXPECT_EQ(Add(text, "id: 2", {}, version), event_verdict::kSpoiled);
-  EXPECT_EQ(Add(text, "id: x\ndata: b", {}, version), event_verdict::kSpoiled);
-  EXPECT_EQ(Add(text, "id: 2\ndata: b", {}, version), event_verdict::kTaken);
+  EXPECT_EQ(Add(text, "id: 1\ndata: a", {}, version), event_check::kTaken);
+  EXPECT_EQ(Add(text, "id: 3\ndata: c", {}, version), event_check::kSpoiled);
+  EXPECT_EQ(Add(text, "id: 1\ndata: a", {}, version), event_check::kSpoiled);
+  EXPECT_EQ(Add(text, "id: 2", {}, version), event_check::kSpoiled);
+  EXPECT_EQ(Add(text, "id: x\ndata: b", {}, version), event_check::kSpoiled);
+  EXPECT_EQ(Add(text, "id: 2\ndata: b", {}, version), event_check::kTaken);
   EXPECT_EQ(JoinText(text), "a\nb");
   EXPECT_EQ(text.versions, std::vector<uint64_t>({3}));
 }
@@ -226,7 +226,7 @@
   std::optional<uint64_t> version = 3;
   Add(text, "id: 1\ndata: a", {}, version);
   EXPECT_EQ(Add(text, "version: 4\nid: 2\ndata: b", {}, version),
-            event_verdict::kTaken);
+            event_check::kTaken);
   EXPECT_EQ(text.versions, std::vector<uint64_t>({3, 4}));
   generated_text single;
   text_rules rules;
@@ -234,13 +234,13 @@
   version = 3;
   Add(single, "id: 1\ndata: a", rules, version);
   EXPECT_EQ(Add(single, "version: 4\nid: 2\ndata: b", rules, version),
-            event_verdict::kMixed);
+            event_check::kMixed);
   rules = text_rules{};
   rules.minimum_version = 4;
   generated_text bounded;
   version = 3;
   EXPECT_EQ(Add(bounded, "id: 1\ndata: a", rules, version),
-            event_verdict::kTooOld);
+            event_check::kTooOld);
   EXPECT_FALSE(MayContinue(bounded, rules, 3));
   EXPECT_TRUE(MayContinue(bounded, rules, 4));
 }
@@ -255,7 +255,7 @@
     const auto size = *rc::gen::inRange<size_t>(1, 12);
     buffer += stream.substr(at, size);
     at += size;
-    while (const auto fields = TakeEvent(buffer)) {
+    while (const auto fields = ExtractEvent(buffer)) {
       joined += fields->back().second;
     }
   }
@@ -271,7 +271,7 @@
                                          const std::string&) {
     return std::optional<uint64_t>();
   };
-  while (const auto fields = TakeEvent(buffer)) {
+  while (const auto fields = ExtractEvent(buffer)) {
     AddEvent(text, *fields, {}, read_nothing, version);
   }
 }
