--- a/packages/steps/event_gap.cc
+++ b/packages/steps/event_gap.cc
@@ -14,8 +14,8 @@
 
 }  // namespace
 
-void NoteEvents(event_gap& gap, std::chrono::milliseconds span, uint64_t events,
-                core::time_point now) {
+void RecordEvents(event_gap& gap, std::chrono::milliseconds span,
+                  uint64_t events, core::time_point now) {
   if (events == 0) return;
   const std::chrono::duration<double> age = now - gap.at;
   const double decay = std::exp(-(age / kDecayTime));
--- a/packages/steps/event_gap.h
+++ b/packages/steps/event_gap.h
@@ -21,8 +21,8 @@
 };
 
 // Records that `events` arrived in a stream within `span`.
-void NoteEvents(event_gap& gap, std::chrono::milliseconds span, uint64_t events,
-                core::time_point now);
+void RecordEvents(event_gap& gap, std::chrono::milliseconds span,
+                  uint64_t events, core::time_point now);
 
 // Milliseconds between two events; 0: no recent events.
 double GapMillis(const event_gap& gap, core::time_point now);
--- a/packages/steps/pacing.cc
+++ b/packages/steps/pacing.cc
@@ -39,7 +39,7 @@
          kLongTaskFraction * static_cast<double>(longest);
 }
 
-void NoteRun(run_pace& pace, task_time duration, int64_t expected) {
+void RecordRun(run_pace& pace, task_time duration, int64_t expected) {
   if (expected <= 0) return;
   pace.seconds = kDecayPerRun * pace.seconds + duration.count();
   pace.expected = kDecayPerRun * pace.expected + static_cast<double>(expected);
--- a/packages/steps/pacing.h
+++ b/packages/steps/pacing.h
@@ -41,7 +41,7 @@
   double seconds = 0;
   double expected = 0;
 };
-void NoteRun(run_pace& pace, task_time duration, int64_t expected);
+void RecordRun(run_pace& pace, task_time duration, int64_t expected);
 // 0: nothing has been learned yet.
 task_time ExpectedTime(const run_pace& pace, int64_t expected);
 
--- a/packages/store/dispatcher_runs.cc
+++ b/packages/store/dispatcher_runs.cc
@@ -213,8 +213,9 @@
   text.events += report.data.size();
   for (std::string& data : report.data) text.data.push_back(std::move(data));
   if (!report.versions.empty()) text.versions = std::move(report.versions);
-  steps::NoteEvents(engines_[self->engine.incarnation].gap,
-                    milliseconds(report.span_ms), report.spanned, clock_.Now());
+  steps::RecordEvents(engines_[self->engine.incarnation].gap,
+                      milliseconds(report.span_ms), report.spanned,
+                      clock_.Now());
   if (report.is_over) EndRun(self, report.how);
 }
 
@@ -266,7 +267,7 @@
   switch (how) {
     case run_end::kComplete:
       if (ended->events_at_start == 0) {
-        steps::NoteRun(
+        steps::RecordRun(
             paces_[ended->model], run_time,
             steps_.at(ended->key.step).expected_tokens[ended->key.task]);
       }
--- a/tests/unit/steps/event_gap_test.cc
+++ b/tests/unit/steps/event_gap_test.cc
@@ -18,8 +18,8 @@
   event_gap in_batches;
   for (int i = 1; i <= 40; ++i) {
     const core::time_point now = kStart + i * milliseconds(50);
-    NoteEvents(one_by_one, milliseconds(50), 1, now);
-    if (i % 4 == 0) NoteEvents(in_batches, milliseconds(200), 4, now);
+    RecordEvents(one_by_one, milliseconds(50), 1, now);
+    if (i % 4 == 0) RecordEvents(in_batches, milliseconds(200), 4, now);
   }
   const core::time_point now = kStart + milliseconds(2000);
   EXPECT_DOUBLE_EQ(GapMillis(one_by_one, now), 50);
@@ -33,11 +33,11 @@
   core::time_point now = kStart;
   for (int i = 0; i < 40; ++i) {
     now += milliseconds(50);
-    NoteEvents(gap, milliseconds(50), 1, now);
+    RecordEvents(gap, milliseconds(50), 1, now);
   }
   for (int i = 0; i < 10; ++i) {
     now += milliseconds(150);
-    NoteEvents(gap, milliseconds(150), 1, now);
+    RecordEvents(gap, milliseconds(150), 1, now);
   }
   EXPECT_GT(GapMillis(gap, now), 100);
 }
@@ -45,9 +45,9 @@
 TEST(EventGapTest, UnusedEngineHasNoGap) {
   event_gap gap;
   EXPECT_EQ(GapMillis(gap, kStart), 0);
-  NoteEvents(gap, milliseconds(50), 0, kStart);
+  RecordEvents(gap, milliseconds(50), 0, kStart);
   EXPECT_EQ(GapMillis(gap, kStart), 0);
-  NoteEvents(gap, milliseconds(50), 1, kStart);
+  RecordEvents(gap, milliseconds(50), 1, kStart);
   EXPECT_EQ(GapMillis(gap, kStart + std::chrono::seconds(4)), 0);
 }
 
--- a/tests/unit/steps/pacing_test.cc
+++ b/tests/unit/steps/pacing_test.cc
@@ -85,8 +85,8 @@
   for (const int64_t scale : {1, 5, 25}) {
     run_pace pace;
     for (int64_t length : {10, 20, 160}) {
-      NoteRun(pace, task_time(0.04 * static_cast<double>(length)),
-              length * scale);
+      RecordRun(pace, task_time(0.04 * static_cast<double>(length)),
+                length * scale);
     }
     EXPECT_NEAR(ExpectedTime(pace, 100 * scale).count(), 4, 0.2);
   }
@@ -94,7 +94,7 @@
 
 TEST(PacingTest, RunsWithoutAHintAreIgnored) {
   run_pace pace;
-  NoteRun(pace, task_time(3), 0);
+  RecordRun(pace, task_time(3), 0);
   EXPECT_EQ(ExpectedTime(pace, 50), task_time(0));
 }
 
