--- a/packages/store/dispatcher.h
+++ b/packages/store/dispatcher.h
@@ -34,7 +34,7 @@
 #include "steps/pacing.h"
 #include "steps/task_choice.h"
 #include "store/reward_caller.h"
-#include "store/runner_book.h"
+#include "store/runner_registry.h"
 #include "store/step_state.h"
 #include "store/task_key.h"
 #include "store/task_run.h"
@@ -229,7 +229,8 @@
   task_runner own_runs_;
   // Shared with the coroutines of waiting polls. When the process ends, their
   // frames are destroyed after this object.
-  std::shared_ptr<runner_book> runners_ = std::make_shared<runner_book>();
+  std::shared_ptr<runner_registry> runners_ =
+      std::make_shared<runner_registry>();
   net::event has_new_orders_;
   std::vector<step_results> uncommitted_results_;
   net::event has_uncommitted_results_;
--- a/packages/store/dispatcher_runs.cc
+++ b/packages/store/dispatcher_runs.cc
@@ -101,8 +101,8 @@
 // runner closed the connection.
 class open_poll {
  public:
-  open_poll(std::shared_ptr<runner_book> registry, const orders_request& input,
-            const core::runtime_clock& clock)
+  open_poll(std::shared_ptr<runner_registry> registry,
+            const orders_request& input, const core::runtime_clock& clock)
       : registry_(std::move(registry)),
         runner_(input.runner),
         session_(input.session),
@@ -116,7 +116,7 @@
   void Close() { is_answered_ = true; }
 
  private:
-  const std::shared_ptr<runner_book> registry_;
+  const std::shared_ptr<runner_registry> registry_;
   const std::string runner_;
   const std::string session_;
   const core::runtime_clock& clock_;
--- a/packages/store/remote_runner.h
+++ b/packages/store/remote_runner.h
@@ -16,7 +16,7 @@
 #include "core/clock.h"
 #include "net/event.h"
 #include "peering/leader_caller.h"
-#include "store/runner_book.h"
+#include "store/runner_registry.h"
 #include "store/task_runner.h"
 
 namespace hickorywood::store {
--- a/packages/store/runner_book.cc
+++ b/packages/store/runner_registry.cc
@@ -1,4 +1,4 @@
-#include "store/runner_book.h"
+#include "store/runner_registry.h"
 
 #include <algorithm>
 #include <utility>
@@ -12,7 +12,7 @@
   return {runs.begin(), runs.end()};
 }
 
-registered_runner* Find(runner_book& registry, const std::string& runner) {
+registered_runner* Find(runner_registry& registry, const std::string& runner) {
   const auto found = registry.runners.find(runner);
   return found == registry.runners.end() ? nullptr : &found->second;
 }
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-std::vector<uint64_t> ApplyPoll(runner_book& registry,
+std::vector<uint64_t> ApplyPoll(runner_registry& registry,
                                 const orders_request& input,
                                 core::time_point now) {
   registered_runner& entry = registry.runners[input.runner];
@@ -48,7 +48,7 @@
   return lost_runs;
 }
 
-orders_answer MakeAnswer(runner_book& registry, const std::string& runner,
+orders_answer MakeAnswer(runner_registry& registry, const std::string& runner,
                          uint64_t term, core::time_point now) {
   orders_answer answer;
   answer.term = term;
@@ -67,19 +67,19 @@
   return answer;
 }
 
-bool HasOrders(const runner_book& registry, const std::string& runner) {
+bool HasOrders(const runner_registry& registry, const std::string& runner) {
   const auto found = registry.runners.find(runner);
   if (found == registry.runners.end()) return false;
   return !found->second.orders.empty() || !found->second.cancelled.empty();
 }
 
-bool HasSession(const runner_book& registry, const std::string& runner,
+bool HasSession(const runner_registry& registry, const std::string& runner,
                 const std::string& session) {
   const auto found = registry.runners.find(runner);
   return found != registry.runners.end() && found->second.session == session;
 }
 
-void OnPollClose(runner_book& registry, const std::string& runner,
+void OnPollClose(runner_registry& registry, const std::string& runner,
                  const std::string& session, core::time_point now) {
   registered_runner* const entry = Find(registry, runner);
   if (entry == nullptr || entry->session != session) return;
@@ -87,7 +87,7 @@
   entry->last_contact_at = now - (kRunnerContactTimeout - kMaxPollGap);
 }
 
-bool AcceptReports(runner_book& registry, const reports_request& input,
+bool AcceptReports(runner_registry& registry, const reports_request& input,
                    uint64_t term, core::time_point now) {
   registered_runner* const entry = Find(registry, input.runner);
   if (entry == nullptr || entry->session != input.session) return false;
@@ -98,7 +98,7 @@
   return true;
 }
 
-std::vector<uint64_t> RemoveRunner(runner_book& registry,
+std::vector<uint64_t> RemoveRunner(runner_registry& registry,
                                    const std::string& runner) {
   const auto found = registry.runners.find(runner);
   if (found == registry.runners.end()) return {};
@@ -108,7 +108,7 @@
 }
 
 std::map<std::string, std::vector<uint64_t>> RemoveUnreachable(
-    runner_book& registry, core::time_point now) {
+    runner_registry& registry, core::time_point now) {
   std::vector<std::string> unreachable;
   for (const auto& [runner, entry] : registry.runners) {
     const bool is_unreachable =
@@ -123,7 +123,7 @@
   return lost_runs;
 }
 
-std::optional<std::string> ChooseRunner(const runner_book& registry,
+std::optional<std::string> ChooseRunner(const runner_registry& registry,
                                         const std::string& zone,
                                         core::time_point now) {
   const std::pair<const std::string, registered_runner>* best = nullptr;
@@ -139,7 +139,7 @@
   return best->first;
 }
 
-void AddOrder(runner_book& registry, const std::string& runner,
+void AddOrder(runner_registry& registry, const std::string& runner,
               run_order order) {
   registered_runner* const entry = Find(registry, runner);
   if (entry == nullptr) return;
@@ -147,7 +147,8 @@
   entry->orders.push_back(std::move(order));
 }
 
-void CancelRun(runner_book& registry, const std::string& runner, uint64_t run) {
+void CancelRun(runner_registry& registry, const std::string& runner,
+               uint64_t run) {
   registered_runner* const entry = Find(registry, runner);
   if (entry == nullptr) return;
   // A run whose order was not sent need not be cancelled at the runner.
@@ -157,7 +158,7 @@
   if (removed == 0) entry->cancelled.push_back(run);
 }
 
-void RemoveEndedRun(runner_book& registry, const std::string& runner,
+void RemoveEndedRun(runner_registry& registry, const std::string& runner,
                     uint64_t run) {
   registered_runner* const entry = Find(registry, runner);
   if (entry != nullptr) entry->runs.erase(run);
--- a/packages/store/runner_book.h
+++ b/packages/store/runner_registry.h
@@ -1,5 +1,5 @@
-#ifndef HICKORYWOOD_STORE_RUNNER_BOOK_H_
-#define HICKORYWOOD_STORE_RUNNER_BOOK_H_
+#ifndef HICKORYWOOD_STORE_RUNNER_REGISTRY_H_
+#define HICKORYWOOD_STORE_RUNNER_REGISTRY_H_
 
 // The leader's registry of the other stores that run tasks, and of the runs
 // that each of them has. A runner polls the leader for orders. The answers are
@@ -70,59 +70,60 @@
   std::vector<uint64_t> unconfirmed_runs;
 };
 
-struct runner_book {
+struct runner_registry {
   std::map<std::string, registered_runner> runners;  // by peer address
 };
 
 // Handles a poll. Returns the runs that it shows to be lost: those of an
 // earlier session, and those whose orders did not arrive.
-std::vector<uint64_t> ApplyPoll(runner_book& registry,
+std::vector<uint64_t> ApplyPoll(runner_registry& registry,
                                 const orders_request& input,
                                 core::time_point now);
 // Returns the answer to the runner's poll and clears the queued orders.
-orders_answer MakeAnswer(runner_book& registry, const std::string& runner,
+orders_answer MakeAnswer(runner_registry& registry, const std::string& runner,
                          uint64_t term, core::time_point now);
-bool HasOrders(const runner_book& registry, const std::string& runner);
+bool HasOrders(const runner_registry& registry, const std::string& runner);
 // Whether the registry contains the session of a runner. It does not after the
 // runner was removed or leadership was lost.
-bool HasSession(const runner_book& registry, const std::string& runner,
+bool HasSession(const runner_registry& registry, const std::string& runner,
                 const std::string& session);
 // Called when a runner closed its poll before the answer. Either the runner has
 // terminated, or it polls again at once.
-void OnPollClose(runner_book& registry, const std::string& runner,
+void OnPollClose(runner_registry& registry, const std::string& runner,
                  const std::string& session, core::time_point now);
 
 // Returns whether reports are the next ones of a registered session, about runs
 // that the leader of `term` ordered. Other reports must be ignored. Reports
 // that were sent to a failed leader can reach its successor under the same
 // session, where their number and run ids are not valid.
-bool AcceptReports(runner_book& registry, const reports_request& input,
+bool AcceptReports(runner_registry& registry, const reports_request& input,
                    uint64_t term, core::time_point now);
 
 // Removes a runner and returns its runs.
-std::vector<uint64_t> RemoveRunner(runner_book& registry,
+std::vector<uint64_t> RemoveRunner(runner_registry& registry,
                                    const std::string& runner);
 // Removes all runners that have not polled or reported within
 // kRunnerContactTimeout, and returns the runs of each.
 std::map<std::string, std::vector<uint64_t>> RemoveUnreachable(
-    runner_book& registry, core::time_point now);
+    runner_registry& registry, core::time_point now);
 
 // Chooses the runner for a task at an engine of `zone`. No value if none has
 // room. Prefers runners in the engine's zone, which avoids traffic between
 // zones for each event. Among these it prefers the one with the most runs,
 // because a call can then carry the reports of many runs.
-std::optional<std::string> ChooseRunner(const runner_book& registry,
+std::optional<std::string> ChooseRunner(const runner_registry& registry,
                                         const std::string& zone,
                                         core::time_point now);
 
-void AddOrder(runner_book& registry, const std::string& runner,
+void AddOrder(runner_registry& registry, const std::string& runner,
               run_order order);
 // Cancels a run at its runner.
-void CancelRun(runner_book& registry, const std::string& runner, uint64_t run);
+void CancelRun(runner_registry& registry, const std::string& runner,
+               uint64_t run);
 // Removes a run that has ended.
-void RemoveEndedRun(runner_book& registry, const std::string& runner,
+void RemoveEndedRun(runner_registry& registry, const std::string& runner,
                     uint64_t run);
 
 }  // namespace hickorywood::store
 
-#endif  // HICKORYWOOD_STORE_RUNNER_BOOK_H_
+#endif  // HICKORYWOOD_STORE_RUNNER_REGISTRY_H_
--- a/tests/unit/store/runner_book_test.cc
+++ b/tests/unit/store/runner_registry_test.cc
@@ -1,4 +1,4 @@
-#include "store/runner_book.h"
+#include "store/runner_registry.h"
 
 #include <gtest/gtest.h>
 
@@ -28,8 +28,8 @@
 }
 
 // Returns a registry in which runner "a" has polled once and got runs 1 and 2.
-runner_book MakeRegistry() {
-  runner_book registry;
+runner_registry MakeRegistry() {
+  runner_registry registry;
   ApplyPoll(registry, MakePoll("a", 0), kStart);
   AddOrder(registry, "a", MakeOrder(1));
   AddOrder(registry, "a", MakeOrder(2));
@@ -37,8 +37,8 @@
   return registry;
 }
 
-TEST(RunnerBookTest, OrdersAreSentOnce) {
-  runner_book registry;
+TEST(RunnerRegistryTest, OrdersAreSentOnce) {
+  runner_registry registry;
   EXPECT_TRUE(ApplyPoll(registry, MakePoll("a", 0), kStart).empty());
   EXPECT_FALSE(HasOrders(registry, "a"));
   AddOrder(registry, "a", MakeOrder(1));
@@ -54,23 +54,23 @@
 
 // An answer with two orders is lost. The next poll of the runner shows that it
 // did not receive the answer, so the tasks are given to other runners at once.
-TEST(RunnerBookTest, OrdersOfALostAnswerAreLost) {
-  runner_book registry = MakeRegistry();
+TEST(RunnerRegistryTest, OrdersOfALostAnswerAreLost) {
+  runner_registry registry = MakeRegistry();
   EXPECT_EQ(ApplyPoll(registry, MakePoll("a", 0), kStart), (runs{1, 2}));
 }
 
 // A store restarts before the leader has detected that it was unreachable. Its
 // new session shows that it has lost its runs.
-TEST(RunnerBookTest, ANewSessionLosesTheRunsOfTheOld) {
-  runner_book registry = MakeRegistry();
+TEST(RunnerRegistryTest, ANewSessionLosesTheRunsOfTheOld) {
+  runner_registry registry = MakeRegistry();
   EXPECT_EQ(ApplyPoll(registry, MakePoll("a", 0, "two"), kStart), (runs{1, 2}));
   EXPECT_TRUE(registry.runners.at("a").runs.empty());
 }
 
 // A store is suspended, or is disconnected from the leader but not from the
 // engines.
-TEST(RunnerBookTest, ASilentRunnerLosesItsRuns) {
-  runner_book registry = MakeRegistry();
+TEST(RunnerRegistryTest, ASilentRunnerLosesItsRuns) {
+  runner_registry registry = MakeRegistry();
   EXPECT_TRUE(
       RemoveUnreachable(registry, kStart + kRunnerContactTimeout).empty());
   const auto lost_runs = RemoveUnreachable(
@@ -83,15 +83,15 @@
 // A runner that can't reach the leader cancels its runs before the leader gives
 // them to others. A task that runs twice occupies a slot that another task
 // could use.
-TEST(RunnerBookTest, ARunnerGivesUpBeforeItsLeaderDoes) {
+TEST(RunnerRegistryTest, ARunnerGivesUpBeforeItsLeaderDoes) {
   EXPECT_LT(kLeaderContactTimeout, kRunnerContactTimeout);
   EXPECT_LT(kBusyPollWait + kReplyTimeout, kLeaderContactTimeout);
 }
 
 // The process of a runner is killed and its connection closes. The leader
 // detects this without waiting for the contact timeout.
-TEST(RunnerBookTest, AnAbandonedQuestionIsNoticedSoon) {
-  runner_book registry = MakeRegistry();
+TEST(RunnerRegistryTest, AnAbandonedQuestionIsNoticedSoon) {
+  runner_registry registry = MakeRegistry();
   ApplyPoll(registry, MakePoll("a", 1), kStart);
   EXPECT_TRUE(RemoveUnreachable(registry, kStart + kIdlePollWait).empty());
   OnPollClose(registry, "a", "one", kStart);
@@ -103,8 +103,8 @@
 
 // The reply to a set of reports is lost, and the reports arrive again. They are
 // accepted once. Reports of an ended session are not accepted.
-TEST(RunnerBookTest, ReportsCountOnce) {
-  runner_book registry = MakeRegistry();
+TEST(RunnerRegistryTest, ReportsCountOnce) {
+  runner_registry registry = MakeRegistry();
   reports_request input;
   input.runner = "a";
   input.session = "one";
@@ -123,8 +123,8 @@
 // its successor, which has answered a poll of the same session. If it accepted
 // them, they would change the texts of other tasks, and the first reports that
 // are meant for the successor would be ignored because their number is used.
-TEST(RunnerBookTest, ReportsToAFailedLeaderAreIgnoredByItsSuccessor) {
-  runner_book registry = MakeRegistry();
+TEST(RunnerRegistryTest, ReportsToAFailedLeaderAreIgnoredByItsSuccessor) {
+  runner_registry registry = MakeRegistry();
   reports_request input;
   input.runner = "a";
   input.session = "one";
@@ -135,8 +135,8 @@
   EXPECT_TRUE(AcceptReports(registry, input, 7, kStart));
 }
 
-TEST(RunnerBookTest, RunnerWithMostRunsInTheEnginesZoneIsChosen) {
-  runner_book registry;
+TEST(RunnerRegistryTest, RunnerWithMostRunsInTheEnginesZoneIsChosen) {
+  runner_registry registry;
   for (const std::string runner : {"a", "b", "c"}) {
     ApplyPoll(registry, MakePoll(runner, 0), kStart);
   }
@@ -145,8 +145,8 @@
   EXPECT_EQ(ChooseRunner(registry, "elsewhere", kStart), "b");
 }
 
-TEST(RunnerBookTest, FullRunnerIsNotChosen) {
-  runner_book registry;
+TEST(RunnerRegistryTest, FullRunnerIsNotChosen) {
+  runner_registry registry;
   ApplyPoll(registry, MakePoll("a", 0), kStart);
   for (size_t i = 0; i < kMaxRunsPerRunner; ++i) {
     ASSERT_TRUE(ChooseRunner(registry, "", kStart));
@@ -160,8 +160,8 @@
 // An instance loses leadership and wins it again while a poll of a runner
 // waits. The registry does not contain the runner then, and the leader gives it
 // no task until the next poll. So the waiting poll must be answered at once.
-TEST(RunnerBookTest, AForgottenRunnerIsNotKnown) {
-  runner_book registry = MakeRegistry();
+TEST(RunnerRegistryTest, AForgottenRunnerIsNotKnown) {
+  runner_registry registry = MakeRegistry();
   EXPECT_TRUE(HasSession(registry, "a", "one"));
   EXPECT_FALSE(HasSession(registry, "a", "two"));
   RemoveRunner(registry, "a");
@@ -171,16 +171,16 @@
 
 // A runner that has got its answer and does not poll again gets no orders,
 // because they would wait for its next poll.
-TEST(RunnerBookTest, RunnerThatDoesNotPollIsNotChosen) {
-  runner_book registry = MakeRegistry();
+TEST(RunnerRegistryTest, RunnerThatDoesNotPollIsNotChosen) {
+  runner_registry registry = MakeRegistry();
   EXPECT_TRUE(ChooseRunner(registry, "", kStart));
   EXPECT_FALSE(ChooseRunner(registry, "", kStart + kMaxPollGap));
 }
 
 // A step ends while an order for one of its tasks waits to be sent and another
 // task runs.
-TEST(RunnerBookTest, CancelledOrdersAreNotSent) {
-  runner_book registry = MakeRegistry();
+TEST(RunnerRegistryTest, CancelledOrdersAreNotSent) {
+  runner_registry registry = MakeRegistry();
   ApplyPoll(registry, MakePoll("a", 1), kStart);
   AddOrder(registry, "a", MakeOrder(3));
   CancelRun(registry, "a", 3);
