--- a/packages/store/dispatcher.cc
+++ b/packages/store/dispatcher.cc
@@ -51,7 +51,7 @@
   own_runs_.on_report = [this](run_report report) {
     ApplyReport(std::move(report));
   };
-  rewards_.on_finished = [this](const task_key& key, reward_end how,
+  rewards_.on_finished = [this](const task_key& key, reward_outcome how,
                                 const std::string& score) {
     OnScored(key, how, score);
   };
@@ -128,7 +128,7 @@
   }
   for (const auto& item : ending) {
     StopRun(*item);
-    EndRun(item, run_end::kBroken);
+    EndRun(item, run_outcome::kBroken);
   }
 }
 
--- a/packages/store/dispatcher.h
+++ b/packages/store/dispatcher.h
@@ -181,8 +181,8 @@
   void RescheduleLostRuns(const std::string& runner,
                           const std::vector<uint64_t>& runs);
   void HandleUnreachableRunners();
-  void EndRun(const std::shared_ptr<run>& ended, run_end how);
-  void RecordEngineOutcome(const std::string& incarnation, run_end how);
+  void EndRun(const std::shared_ptr<run>& ended, run_outcome how);
+  void RecordEngineOutcome(const std::string& incarnation, run_outcome how);
   void RecordBrokenConnection(const run& ended);
   void RecordServed(const task_key& key);
   // Whether the request of the task is quarantined because engines crashed
@@ -191,7 +191,8 @@
   // Called when the text of a task is complete. Requests the score, or finishes
   // the task if it has no reward request.
   void HandleCompleteText(const task_key& key);
-  void OnScored(const task_key& key, reward_end how, const std::string& score);
+  void OnScored(const task_key& key, reward_outcome how,
+                const std::string& score);
   size_t OpenInGroup(const task_key& key);
   void Finish(const task_key& key, bool is_complete, std::string score = "");
   void UpdateDemands();
--- a/packages/store/dispatcher_results.cc
+++ b/packages/store/dispatcher_results.cc
@@ -41,9 +41,9 @@
   ScheduleDispatch();
 }
 
-void dispatcher::OnScored(const task_key& key, reward_end how,
+void dispatcher::OnScored(const task_key& key, reward_outcome how,
                           const std::string& score) {
-  Finish(key, how == reward_end::kScored, score);
+  Finish(key, how == reward_outcome::kScored, score);
   ScheduleDispatch();
 }
 
@@ -245,7 +245,7 @@
       task->left_engine = item->engine.incarnation;
     }
     StopRun(*item);
-    EndRun(item, run_end::kMoved);
+    EndRun(item, run_outcome::kMoved);
   }
 }
 
--- a/packages/store/dispatcher_runs.cc
+++ b/packages/store/dispatcher_runs.cc
@@ -175,7 +175,7 @@
     const auto found = runs_by_id_.find(id);
     if (found == runs_by_id_.end()) continue;
     // The run was lost with its runner, so this is no failure of the engine.
-    EndRun(std::shared_ptr<run>(found->second), run_end::kMoved);
+    EndRun(std::shared_ptr<run>(found->second), run_outcome::kMoved);
   }
 }
 
@@ -246,7 +246,7 @@
   has_new_orders_.Notify();
 }
 
-void dispatcher::EndRun(const std::shared_ptr<run>& ended, run_end how) {
+void dispatcher::EndRun(const std::shared_ptr<run>& ended, run_outcome how) {
   RemoveRun(*ended);
   RecordEngineOutcome(ended->engine.incarnation, how);
   tracked_task* const task = FindTask(ended->key);
@@ -257,15 +257,15 @@
   LogEvent(event_id::kTaskRunEnded, {{"step", ended->key.step},
                                      {"task", Text(ended->key.task)},
                                      {"endpoint", ended->engine.incarnation},
-                                     {"how", WordOf(how)},
+                                     {"how", RunOutcomeName(how)},
                                      {"events", Text(task->text.events)},
                                      {"ms", std::to_string(run_time.count())}});
-  const bool is_answered = how == run_end::kComplete ||
-                           how == run_end::kFailed ||
-                           how == run_end::kImpossible;
+  const bool is_answered = how == run_outcome::kComplete ||
+                           how == run_outcome::kFailed ||
+                           how == run_outcome::kImpossible;
   if (is_answered) RecordServed(ended->key);
   switch (how) {
-    case run_end::kComplete:
+    case run_outcome::kComplete:
       if (ended->events_at_start == 0) {
         steps::RecordRun(
             paces_[ended->model], run_time,
@@ -273,32 +273,32 @@
       }
       HandleCompleteText(ended->key);
       break;
-    case run_end::kImpossible:
+    case run_outcome::kImpossible:
       Finish(ended->key, false);
       break;
-    case run_end::kFailed: {
+    case run_outcome::kFailed: {
       ++task->failures;
       const fleet::route* terms = RouteOf(ended->key);
       const int64_t most = terms == nullptr ? 1 : terms->max_attempts;
       if (task->failures >= most) Finish(ended->key, false);
       break;
     }
-    case run_end::kNotRun:
+    case run_outcome::kNotRun:
       task->not_before = clock_.Now() + kRetryPause;
       break;
-    case run_end::kUnusable:
+    case run_outcome::kUnusable:
       // The step does not allow the weights that generated the text, so the
       // text can't be continued.
       task->text = steps::generated_text{};
       task->committed_events = 0;
       task->not_before = clock_.Now() + kRetryPause;
       break;
-    case run_end::kBroken:
+    case run_outcome::kBroken:
       // Recorded also if the run added text, because each later run of the
       // request may add text too before it crashes its engine.
       RecordBrokenConnection(*ended);
       break;
-    case run_end::kMoved:
+    case run_outcome::kMoved:
       break;
   }
   ScheduleDispatch();
@@ -346,11 +346,12 @@
 }
 
 void dispatcher::RecordEngineOutcome(const std::string& incarnation,
-                                     run_end how) {
+                                     run_outcome how) {
   engine_record& engine = engines_[incarnation];
-  const bool is_fault = how == run_end::kBroken || how == run_end::kNotRun;
+  const bool is_fault =
+      how == run_outcome::kBroken || how == run_outcome::kNotRun;
   if (!is_fault) {
-    if (how == run_end::kComplete) engine.failures = 0;
+    if (how == run_outcome::kComplete) engine.failures = 0;
     return;
   }
   const int doublings = std::min(engine.failures, kMaxDoublings);
--- a/packages/store/reward_caller.cc
+++ b/packages/store/reward_caller.cc
@@ -172,10 +172,10 @@
   const task_key key = job->job.key;
   jobs_.erase(key);
   if (is_scored) {
-    on_finished(key, reward_end::kScored,
+    on_finished(key, reward_outcome::kScored,
                 wire_.DecodeMarks(*outcome.answer).signature);
   } else {
-    on_finished(key, reward_end::kAbandoned, "");
+    on_finished(key, reward_outcome::kAbandoned, "");
   }
 }
 
--- a/packages/store/reward_caller.h
+++ b/packages/store/reward_caller.h
@@ -33,7 +33,7 @@
   core::time_point opened_at{};  // when the step was submitted
 };
 
-enum class reward_end {
+enum class reward_outcome {
   kScored,
   kAbandoned,  // the maximum number of failed answers was reached
 };
@@ -46,7 +46,7 @@
 
   // Called once with the outcome of a job. `score` is empty unless the outcome
   // is kScored.
-  std::function<void(const task_key&, reward_end, const std::string& score)>
+  std::function<void(const task_key&, reward_outcome, const std::string& score)>
       on_finished;
   // Returns the number of tasks without a result in the group of a task.
   std::function<size_t(const task_key&)> open_in_group;
--- a/packages/store/task_run.cc
+++ b/packages/store/task_run.cc
@@ -14,21 +14,21 @@
 
 }  // namespace
 
-const char* WordOf(run_end how) {
+const char* RunOutcomeName(run_outcome how) {
   switch (how) {
-    case run_end::kComplete:
+    case run_outcome::kComplete:
       return "complete";
-    case run_end::kFailed:
+    case run_outcome::kFailed:
       return "failed";
-    case run_end::kImpossible:
+    case run_outcome::kImpossible:
       return "impossible";
-    case run_end::kNotRun:
+    case run_outcome::kNotRun:
       return "not_run";
-    case run_end::kBroken:
+    case run_outcome::kBroken:
       return "broken";
-    case run_end::kUnusable:
+    case run_outcome::kUnusable:
       return "unusable";
-    case run_end::kMoved:
+    case run_outcome::kMoved:
       return "moved";
   }
   return "broken";
--- a/packages/store/task_run.h
+++ b/packages/store/task_run.h
@@ -13,7 +13,7 @@
 
 namespace hickorywood::store {
 
-enum class run_end {
+enum class run_outcome {
   kComplete,
   kFailed,      // the engine answered that the attempt failed
   kImpossible,  // the task can never be done
@@ -22,16 +22,16 @@
   kUnusable,    // generated with weights that the step does not allow
   kMoved,       // cancelled, to continue on another engine or runner
 };
-NLOHMANN_JSON_SERIALIZE_ENUM(run_end, {{run_end::kBroken, 4},
-                                       {run_end::kComplete, 0},
-                                       {run_end::kFailed, 1},
-                                       {run_end::kImpossible, 2},
-                                       {run_end::kNotRun, 3},
-                                       {run_end::kUnusable, 5},
-                                       {run_end::kMoved, 6}})
+NLOHMANN_JSON_SERIALIZE_ENUM(run_outcome, {{run_outcome::kBroken, 4},
+                                           {run_outcome::kComplete, 0},
+                                           {run_outcome::kFailed, 1},
+                                           {run_outcome::kImpossible, 2},
+                                           {run_outcome::kNotRun, 3},
+                                           {run_outcome::kUnusable, 5},
+                                           {run_outcome::kMoved, 6}})
 
 // Returns the name of an outcome for logs.
-const char* WordOf(run_end how);
+const char* RunOutcomeName(run_outcome how);
 
 struct run_order {
   uint64_t run = 0;         // id, unique among all leaders of the group
@@ -64,7 +64,7 @@
   uint64_t spanned = 0;
   std::vector<uint64_t> versions;  // of the text up to now
   bool is_over = false;
-  run_end how = run_end::kBroken;  // set if `is_over`
+  run_outcome how = run_outcome::kBroken;  // set if `is_over`
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(run_report, run, has_head,
                                                 weights_version, data, span_ms,
--- a/packages/store/task_runner.cc
+++ b/packages/store/task_runner.cc
@@ -41,8 +41,8 @@
   runs_[self->order.run] = self;
   net::SpawnCancellable(
       loop_, Run(self), self->cancel,
-      [this, self](const std::exception_ptr& failure, run_end how) {
-        EndRun(self, failure ? run_end::kMoved : how);
+      [this, self](const std::exception_ptr& failure, run_outcome how) {
+        EndRun(self, failure ? run_outcome::kMoved : how);
       });
 }
 
@@ -51,24 +51,24 @@
   return found != runs_.end() && found->second == active;
 }
 
-awaitable<run_end> task_runner::Run(std::shared_ptr<active_run> self) {
+awaitable<run_outcome> task_runner::Run(std::shared_ptr<active_run> self) {
   const net::request input = RequestOf(self->order);
   net::acquire_terms terms;
   terms.request_id = wire_.RequestId(input);
   std::unique_ptr<net::connection> open = co_await pool_.Acquire(
       self->order.address, clock_.Now() + kConnectTimeout, std::move(terms));
-  if (!open) co_return run_end::kNotRun;
+  if (!open) co_return run_outcome::kNotRun;
   const time_point deadline = clock_.Now() + kFirstEventTimeout;
   const bool is_written = co_await open->Write(input, deadline);
-  if (!is_written) co_return run_end::kBroken;
+  if (!is_written) co_return run_outcome::kBroken;
   net::response head;
   const net::header id = wire_.RequestIdHeader(wire_.RequestId(input));
   const bool has_head = co_await net::ReadOwnHead(*open, id, deadline, head);
-  if (!has_head) co_return run_end::kBroken;
+  if (!has_head) co_return run_outcome::kBroken;
   const fleet::answer_marks marks = wire_.DecodeMarks(head);
-  if (marks.is_not_run) co_return run_end::kNotRun;
-  if (head.status == 422) co_return run_end::kImpossible;
-  if (head.status != 200 || !marks.IsSigned()) co_return run_end::kFailed;
+  if (marks.is_not_run) co_return run_outcome::kNotRun;
+  if (head.status == 422) co_return run_outcome::kImpossible;
+  if (head.status != 200 || !marks.IsSigned()) co_return run_outcome::kFailed;
   self->has_head = true;
   run_report head_report;
   head_report.run = self->order.run;
@@ -77,29 +77,29 @@
   if (IsCurrent(self)) on_report(std::move(head_report));
   const bool may_continue =
       steps::MayContinue(self->text, self->rules, marks.weights_version);
-  if (!may_continue) co_return run_end::kUnusable;
-  const run_end how = co_await ReadText(self, *open, marks.weights_version);
-  if (how == run_end::kComplete) pool_.Release(std::move(open));
+  if (!may_continue) co_return run_outcome::kUnusable;
+  const run_outcome how = co_await ReadText(self, *open, marks.weights_version);
+  if (how == run_outcome::kComplete) pool_.Release(std::move(open));
   co_return how;
 }
 
-awaitable<run_end> task_runner::ReadText(std::shared_ptr<active_run> self,
-                                         net::connection& from,
-                                         std::optional<uint64_t> version) {
+awaitable<run_outcome> task_runner::ReadText(std::shared_ptr<active_run> self,
+                                             net::connection& from,
+                                             std::optional<uint64_t> version) {
   std::string buffer;
   for (;;) {
     const net::body_state state =
         co_await from.ReadSome(buffer, time_point::max());
-    if (state == net::body_state::kBroken) co_return run_end::kBroken;
-    if (!IsCurrent(self)) co_return run_end::kMoved;
+    if (state == net::body_state::kBroken) co_return run_outcome::kBroken;
+    if (!IsCurrent(self)) co_return run_outcome::kMoved;
     const auto event_failure = ConsumeEvents(*self, buffer, version);
     if (event_failure) co_return *event_failure;
     if (state != net::body_state::kEnd) continue;
-    co_return buffer.empty() ? run_end::kComplete : run_end::kBroken;
+    co_return buffer.empty() ? run_outcome::kComplete : run_outcome::kBroken;
   }
 }
 
-std::optional<run_end> task_runner::ConsumeEvents(
+std::optional<run_outcome> task_runner::ConsumeEvents(
     active_run& self, std::string& buffer, std::optional<uint64_t>& version) {
   const steps::version_reader read = [this](const std::string& field,
                                             const std::string& value) {
@@ -108,16 +108,16 @@
   run_report report;
   report.run = self.order.run;
   const uint64_t events_before = self.text.events;
-  std::optional<run_end> event_failure;
+  std::optional<run_outcome> event_failure;
   while (const auto fields = steps::ExtractEvent(buffer)) {
     const steps::event_check verdict =
         steps::AddEvent(self.text, *fields, self.rules, read, version);
     if (verdict == steps::event_check::kSpoiled) {
-      event_failure = run_end::kBroken;
+      event_failure = run_outcome::kBroken;
       break;
     }
     if (verdict != steps::event_check::kTaken) {
-      event_failure = run_end::kUnusable;
+      event_failure = run_outcome::kUnusable;
       break;
     }
   }
@@ -141,14 +141,14 @@
 }
 
 void task_runner::EndRun(const std::shared_ptr<active_run>& ended,
-                         run_end how) {
+                         run_outcome how) {
   if (!IsCurrent(ended)) return;
   runs_.erase(ended->order.run);
   run_report report;
   report.run = ended->order.run;
   report.is_over = true;
-  const bool is_timeout = ended->is_stalled && how == run_end::kMoved;
-  report.how = is_timeout ? run_end::kBroken : how;
+  const bool is_timeout = ended->is_stalled && how == run_outcome::kMoved;
+  report.how = is_timeout ? run_outcome::kBroken : how;
   on_report(std::move(report));
 }
 
--- a/packages/store/task_runner.h
+++ b/packages/store/task_runner.h
@@ -54,15 +54,16 @@
     net::cancel_signal cancel = net::MakeCancelSignal();
   };
 
-  boost::asio::awaitable<run_end> Run(std::shared_ptr<active_run> self);
-  boost::asio::awaitable<run_end> ReadText(std::shared_ptr<active_run> self,
-                                           net::connection& from,
-                                           std::optional<uint64_t> version);
+  boost::asio::awaitable<run_outcome> Run(std::shared_ptr<active_run> self);
+  boost::asio::awaitable<run_outcome> ReadText(std::shared_ptr<active_run> self,
+                                               net::connection& from,
+                                               std::optional<uint64_t> version);
   // Removes the complete events from `buffer` and reports them. Returns an
   // outcome if an event is malformed or not allowed, else no value.
-  std::optional<run_end> ConsumeEvents(active_run& self, std::string& buffer,
-                                       std::optional<uint64_t>& version);
-  void EndRun(const std::shared_ptr<active_run>& ended, run_end how);
+  std::optional<run_outcome> ConsumeEvents(active_run& self,
+                                           std::string& buffer,
+                                           std::optional<uint64_t>& version);
+  void EndRun(const std::shared_ptr<active_run>& ended, run_outcome how);
   bool IsCurrent(const std::shared_ptr<active_run>& active) const;
 
   boost::asio::io_context& loop_;
--- a/tests/unit/store/reward_caller_test.cc
+++ b/tests/unit/store/reward_caller_test.cc
@@ -54,9 +54,9 @@
     where.max_attempts = kMaxAttempts;
     view_.config.version = 1;
     view_.config.routes = {where};
-    caller_.on_finished = [this](const task_key& key, reward_end how,
+    caller_.on_finished = [this](const task_key& key, reward_outcome how,
                                  const std::string& score) {
-      results_[key.task] = how == reward_end::kScored ? score : "abandoned";
+      results_[key.task] = how == reward_outcome::kScored ? score : "abandoned";
     };
     caller_.open_in_group = [this](const task_key& key) {
       return open_in_group_[key.task];
--- a/tests/unit/store/runner_registry_test.cc
+++ b/tests/unit/store/runner_registry_test.cc
@@ -201,11 +201,11 @@
   later.data = {"c"};
   later.versions = {1, 2};
   later.is_over = true;
-  later.how = run_end::kComplete;
+  later.how = run_outcome::kComplete;
   Merge(earlier, later);
   EXPECT_TRUE(earlier.has_head);
   EXPECT_TRUE(earlier.is_over);
-  EXPECT_EQ(earlier.how, run_end::kComplete);
+  EXPECT_EQ(earlier.how, run_outcome::kComplete);
   EXPECT_EQ(earlier.data, (std::vector<std::string>{"a", "b", "c"}));
   EXPECT_EQ(earlier.versions, (runs{1, 2}));
 }
--- a/tests/unit/store/task_runner_test.cc
+++ b/tests/unit/store/task_runner_test.cc
@@ -91,7 +91,7 @@
       for (const std::string& data : data_) {
         if (data != expected_data) series_.foreign_data.push_back(data);
       }
-      if (outcome_ != run_end::kComplete) continue;
+      if (outcome_ != run_outcome::kComplete) continue;
       series_.complete_texts += data_.size() == kEvents ? 1 : 0;
       co_return;
     }
@@ -105,7 +105,7 @@
   task_runner runs_;
   uint64_t latest_ = 0;
   std::vector<std::string> data_;
-  std::optional<run_end> outcome_;
+  std::optional<run_outcome> outcome_;
   net::event run_ended_;
 };
 
