--- a/packages/consensus/group_replica.cc
+++ b/packages/consensus/group_replica.cc
@@ -281,8 +281,8 @@
   if (waiting == proposals_.end()) return;
   const pending_proposal proposal = std::move(waiting->second);
   proposals_.erase(waiting);
-  proposal.done(proposal.term == entry.term ? proposal_end::kCommitted
-                                            : proposal_end::kLost);
+  proposal.done(proposal.term == entry.term ? proposal_outcome::kCommitted
+                                            : proposal_outcome::kLost);
 }
 
 void group_replica::LogMembers(const log_entry& entry) {
@@ -349,7 +349,7 @@
 void group_replica::FailPendingProposals() {
   std::map<uint64_t, pending_proposal> proposals = std::move(proposals_);
   proposals_.clear();
-  for (auto& item : proposals) item.second.done(proposal_end::kLost);
+  for (auto& item : proposals) item.second.done(proposal_outcome::kLost);
 }
 
 void group_replica::Receive(const message& input, reply_messages reply) {
--- a/packages/consensus/group_replica.h
+++ b/packages/consensus/group_replica.h
@@ -63,7 +63,7 @@
 };
 
 // Result of a proposal on the replica that proposed it.
-enum class proposal_end {
+enum class proposal_outcome {
   kCommitted,
   // Leadership ended first: this replica doesn't learn whether the entry is
   // committed.
@@ -83,7 +83,7 @@
 class group_replica {
  public:
   using reply_messages = std::function<void(std::vector<message>)>;
-  using proposal_callback = std::function<void(proposal_end)>;
+  using proposal_callback = std::function<void(proposal_outcome)>;
 
   // `clock`, `storage`, `sender` and `machine` must outlive the replica.
   group_replica(const core::runtime_clock& clock,
--- a/packages/control/replica.cc
+++ b/packages/control/replica.cc
@@ -101,16 +101,17 @@
 
 bool replica::ProposeEntry(command input, proposal_callback done) {
   input.now_ms = core::ToUnixMillis(clock_.WallNow());
-  return group_.Propose(core::Encode(input), [this, done = std::move(done)](
-                                                 consensus::proposal_end end) {
-    proposal_answer answer = NotLeader();
-    answer.status = proposal_status::kLost;
-    if (end == consensus::proposal_end::kCommitted) {
-      answer.status = proposal_status::kDone;
-      answer.result = last_result_;
-    }
-    done(std::move(answer));
-  });
+  return group_.Propose(
+      core::Encode(input),
+      [this, done = std::move(done)](consensus::proposal_outcome end) {
+        proposal_answer answer = NotLeader();
+        answer.status = proposal_status::kLost;
+        if (end == consensus::proposal_outcome::kCommitted) {
+          answer.status = proposal_status::kDone;
+          answer.result = last_result_;
+        }
+        done(std::move(answer));
+      });
 }
 
 void replica::Propose(command input, proposal_callback done) {
--- a/packages/group/group_host.cc
+++ b/packages/group/group_host.cc
@@ -200,16 +200,16 @@
   input.name = std::move(name);
   input.now_ms = core::ToUnixMillis(clock_.WallNow());
   input.payload = std::move(payload);
-  const net::one_shot<consensus::proposal_end> outcome;
+  const net::one_shot<consensus::proposal_outcome> outcome;
   commit_result result;
   result.was_proposed = replica_.Propose(
       EncodeCommand(input),
-      [outcome](consensus::proposal_end how) { outcome.Set(how); });
+      [outcome](consensus::proposal_outcome how) { outcome.Set(how); });
   if (!result.was_proposed) co_return result;
   ScheduleFlush();
   // Completes at the commit, or when leadership ends.
   const auto how = co_await outcome.WaitUntil(core::time_point::max());
-  result.is_committed = how && *how == consensus::proposal_end::kCommitted;
+  result.is_committed = how && *how == consensus::proposal_outcome::kCommitted;
   co_return result;
 }
 
