--- a/packages/consensus/group_replica.cc
+++ b/packages/consensus/group_replica.cc
@@ -370,8 +370,9 @@
   return true;
 }
 
-bool group_replica::HandOver() {
-  const bool is_started = consensus::HandOver(raft_, clock_.Now(), out_);
+bool group_replica::TransferLeadership() {
+  const bool is_started =
+      consensus::TransferLeadership(raft_, clock_.Now(), out_);
   Flush();
   return is_started;
 }
--- a/packages/consensus/group_replica.h
+++ b/packages/consensus/group_replica.h
@@ -119,7 +119,7 @@
 
   // Transfers leadership before a planned shutdown. Returns false if no other
   // voter can take over.
-  bool HandOver();
+  bool TransferLeadership();
 
   // Whether this replica is the leader, its lease is valid, and it has applied
   // all entries that were committed before its term.
--- a/packages/consensus/raft.h
+++ b/packages/consensus/raft.h
@@ -158,7 +158,7 @@
 
 // Leader: releases the lease for the rest of the term and asks an up-to-date
 // voter to start an election. Returns false if there is no suitable voter.
-bool HandOver(raft_state& state, time_point now, raft_output& out);
+bool TransferLeadership(raft_state& state, time_point now, raft_output& out);
 
 // Creates a snapshot from `data`, the state as of `index`, and removes old
 // entries.
--- a/packages/consensus/raft_leader.cc
+++ b/packages/consensus/raft_leader.cc
@@ -390,7 +390,7 @@
   if (found != state.followers.end()) found->second.is_in_flight = false;
 }
 
-bool HandOver(raft_state& state, time_point now, raft_output& out) {
+bool TransferLeadership(raft_state& state, time_point now, raft_output& out) {
   if (state.role != raft_role::kLeader) return false;
   const group_members members = ActiveMembers(state.log);
   for (const auto& [who, progress] : state.followers) {
--- a/packages/control/replica.h
+++ b/packages/control/replica.h
@@ -132,7 +132,7 @@
 
   // Transfers leadership before a planned shutdown. Returns false if no other
   // voter can take over.
-  bool HandOver() { return group_.HandOver(); }
+  bool TransferLeadership() { return group_.TransferLeadership(); }
 
   bool IsServing() const { return group_.IsServing(); }
   // Whether this replica, identified by its instance and its current data
--- a/packages/controller/controller.cc
+++ b/packages/controller/controller.cc
@@ -144,7 +144,7 @@
 
   awaitable<void> Stop() {
     LogEvent(event_id::kProcessStopping, {{"instance", settings.id}});
-    group.HandOver();
+    group.TransferLeadership();
     co_await net::Sleep(kLeadershipTransferTime);
     control.BeginDrain();
     control.StopAccepting();
--- a/packages/group/group_host.h
+++ b/packages/group/group_host.h
@@ -90,7 +90,7 @@
   bool IsInGroup() const { return !replica_.Raft().group.empty(); }
   // Instances that requested to join within the last second.
   std::set<std::string> Applicants() const;
-  bool HandOver() { return replica_.HandOver(); }
+  bool TransferLeadership() { return replica_.TransferLeadership(); }
 
   // Set before Start(). `on_leadership` is called when this replica starts or
   // stops leading, `on_applied` after the state changed, `on_failure` when the
--- a/packages/store/step_service.cc
+++ b/packages/store/step_service.cc
@@ -254,7 +254,8 @@
     if (!group_.IsServing()) continue;
     // A leader that is being retired must transfer leadership before it can
     // leave the group.
-    if (state_.Retired().count(group_.OwnAddress()) != 0) group_.HandOver();
+    if (state_.Retired().count(group_.OwnAddress()) != 0)
+      group_.TransferLeadership();
     if (clock_.Now() < next_removal_at) continue;
     next_removal_at = clock_.Now() + kStepRemovalPeriod;
     co_await RemoveOldSteps();
--- a/packages/store/store_instance.cc
+++ b/packages/store/store_instance.cc
@@ -151,7 +151,7 @@
     LogEvent(event_id::kProcessStopping, {{"instance", settings.id}});
     dispatch.OnLeadership(false);
     runner.Stop();
-    group.HandOver();
+    group.TransferLeadership();
     co_await net::Sleep(kLeadershipTransferTime);
     peers.StopAccepting();
     LogEvent(event_id::kProcessStopped, {{"instance", settings.id}});
--- a/tests/unit/consensus/group_simulation.cc
+++ b/tests/unit/consensus/group_simulation.cc
@@ -289,7 +289,7 @@
 
 void group_simulation::LoseTransferMessage(size_t index) {
   raft_output lost;
-  HandOver(replicas_[index].state, clock_.Now(), lost);
+  TransferLeadership(replicas_[index].state, clock_.Now(), lost);
 }
 
 size_t group_simulation::Leader() const {
@@ -343,7 +343,8 @@
     }
   } else if (kind == 30) {
     raft_output out;
-    if (item.is_up && !item.is_frozen) HandOver(item.state, clock_.Now(), out);
+    if (item.is_up && !item.is_frozen)
+      TransferLeadership(item.state, clock_.Now(), out);
     Handle(index, out);
   } else if (kind == 31) {
     while (!network_.empty()) Deliver(0, false);
