--- a/packages/control/configuration_lease.cc
+++ b/packages/control/configuration_lease.cc
@@ -12,14 +12,14 @@
 
 }  // namespace
 
-void StartLeaseTable(lease_book& leases, core::milliseconds duration,
+void StartLeaseTable(lease_table& leases, core::milliseconds duration,
                      core::time_point now) {
   leases.duration = duration;
   leases.holders.clear();
   leases.complete_at = now + duration + duration / kMarginDivisor;
 }
 
-void RenewLease(lease_book& leases, const std::string& instance,
+void RenewLease(lease_table& leases, const std::string& instance,
                 const std::string& site, uint64_t applied, uint64_t revision,
                 core::time_point now) {
   lease_holder& holder = leases.holders[instance];
@@ -30,7 +30,7 @@
   holder.may_still_serve = false;
 }
 
-void NoteDarkSites(lease_book& leases,
+void NoteDarkSites(lease_table& leases,
                    const std::map<std::string, size_t>& site_sizes,
                    core::time_point now) {
   const std::vector<std::string> unreachable =
@@ -44,11 +44,11 @@
   }
 }
 
-void ReleaseLease(lease_book& leases, const std::string& instance) {
+void ReleaseLease(lease_table& leases, const std::string& instance) {
   leases.holders.erase(instance);
 }
 
-bool IsInForceEverywhere(const lease_book& leases, uint64_t index,
+bool IsInForceEverywhere(const lease_table& leases, uint64_t index,
                          core::time_point now) {
   if (now < leases.complete_at) return false;
   return std::all_of(leases.holders.begin(), leases.holders.end(),
@@ -61,7 +61,7 @@
 }
 
 std::vector<std::string> DarkSites(
-    const lease_book& leases, const std::map<std::string, size_t>& site_sizes,
+    const lease_table& leases, const std::map<std::string, size_t>& site_sizes,
     uint64_t index, core::time_point now) {
   std::map<std::string, size_t> instances_in_force;
   for (const auto& item : leases.holders) {
--- a/packages/control/configuration_lease.h
+++ b/packages/control/configuration_lease.h
@@ -31,33 +31,33 @@
 // The leader's table of leases. It is not replicated: a new leader starts with
 // an empty table and waits until all leases granted by earlier leaders must
 // have expired (`complete_at`).
-struct lease_book {
+struct lease_table {
   core::milliseconds duration{0};
   core::time_point complete_at{};
   std::map<std::string, lease_holder> holders;  // by instance id
 };
 
-void StartLeaseTable(lease_book& leases, core::milliseconds duration,
+void StartLeaseTable(lease_table& leases, core::milliseconds duration,
                      core::time_point now);
 
 // Grants or renews the lease of `instance`.
-void RenewLease(lease_book& leases, const std::string& instance,
+void RenewLease(lease_table& leases, const std::string& instance,
                 const std::string& site, uint64_t applied, uint64_t revision,
                 core::time_point now);
 
 // Marks instances whose lease has expired while their site is unreachable,
 // since they may still be serving. Call it at short intervals; a renewal clears
 // the mark.
-void NoteDarkSites(lease_book& leases,
+void NoteDarkSites(lease_table& leases,
                    const std::map<std::string, size_t>& site_sizes,
                    core::time_point now);
 
 // Releases the lease of an instance that shuts down.
-void ReleaseLease(lease_book& leases, const std::string& instance);
+void ReleaseLease(lease_table& leases, const std::string& instance);
 
 // Whether log entry `index` is in force at every instance that may be serving
 // at `now`.
-bool IsInForceEverywhere(const lease_book& leases, uint64_t index,
+bool IsInForceEverywhere(const lease_table& leases, uint64_t index,
                          core::time_point now);
 
 // Returns the sites where no majority of the instances has a valid lease and
@@ -68,7 +68,7 @@
 // majorities share an instance, so no change is accepted while such a site
 // serves an older revision.
 std::vector<std::string> DarkSites(
-    const lease_book& leases, const std::map<std::string, size_t>& site_sizes,
+    const lease_table& leases, const std::map<std::string, size_t>& site_sizes,
     uint64_t index, core::time_point now);
 
 }  // namespace hickorywood::control
--- a/packages/control/replica.h
+++ b/packages/control/replica.h
@@ -191,7 +191,7 @@
   control_state state_;
   command_result last_result_;  // result of the command applied last
   uint64_t view_version_ = 0;
-  lease_book leases_;
+  lease_table leases_;
 
   std::vector<pending_submission> submissions_;
   // Submissions queued until the lease table is complete.
--- a/tests/unit/control/configuration_lease_test.cc
+++ b/tests/unit/control/configuration_lease_test.cc
@@ -10,8 +10,8 @@
 
 const time_point kStart{std::chrono::hours(1)};
 
-lease_book MakeLeases() {
-  lease_book leases;
+lease_table MakeLeases() {
+  lease_table leases;
   StartLeaseTable(leases, milliseconds(1000), kStart);
   return leases;
 }
@@ -19,13 +19,13 @@
 // A new leader has no record of the leases that earlier leaders granted:
 // nothing counts as in force before the longest of them has expired.
 TEST(ConfigurationLeaseTest, NewLeaderWaitsForOldLeasesToExpire) {
-  const lease_book leases = MakeLeases();
+  const lease_table leases = MakeLeases();
   EXPECT_FALSE(IsInForceEverywhere(leases, 1, kStart + milliseconds(1000)));
   EXPECT_TRUE(IsInForceEverywhere(leases, 1, kStart + milliseconds(1100)));
 }
 
 TEST(ConfigurationLeaseTest, ChangeWaitsForEachLiveHolder) {
-  lease_book leases = MakeLeases();
+  lease_table leases = MakeLeases();
   const time_point later = kStart + milliseconds(2000);
   RenewLease(leases, "a", "north", 5, 1, later);
   RenewLease(leases, "b", "north", 4, 1, later);
@@ -38,7 +38,7 @@
 }
 
 TEST(ConfigurationLeaseTest, SiteWithoutAMajorityIsUnreachable) {
-  lease_book leases = MakeLeases();
+  lease_table leases = MakeLeases();
   const std::map<std::string, size_t> sizes = {{"north", 3}, {"south", 1}};
   const time_point later = kStart + milliseconds(2000);
   RenewLease(leases, "a", "north", 5, 1, later);
@@ -57,7 +57,7 @@
 // and serves the old revision. A change must not be accepted before the third
 // instance has it too, or before the instance is considered terminated.
 TEST(ConfigurationLeaseTest, LastInstanceOfADarkSiteIsWaitedFor) {
-  lease_book leases = MakeLeases();
+  lease_table leases = MakeLeases();
   const std::map<std::string, size_t> sizes = {{"south", 3}};
   time_point now = kStart + milliseconds(2000);
   for (const char* name : {"s1", "s2", "s3"}) {
@@ -70,10 +70,10 @@
   NoteDarkSites(leases, sizes, now);
   EXPECT_TRUE(DarkSites(leases, sizes, 5, now).empty());
   EXPECT_FALSE(IsInForceEverywhere(leases, 5, now));
-  lease_book renewed = leases;
+  lease_table renewed = leases;
   RenewLease(renewed, "s2", "south", 5, 2, now);
   EXPECT_TRUE(IsInForceEverywhere(renewed, 5, now));
-  lease_book excluded = leases;
+  lease_table excluded = leases;
   NoteDarkSites(excluded, {}, now);
   EXPECT_TRUE(IsInForceEverywhere(excluded, 5, now));
 }
