--- a/packages/control/configuration_lease.cc
+++ b/packages/control/configuration_lease.cc
@@ -30,11 +30,11 @@
   holder.may_still_serve = false;
 }
 
-void NoteDarkSites(lease_table& leases,
-                   const std::map<std::string, size_t>& site_sizes,
-                   core::time_point now) {
+void MarkUnreachableSites(lease_table& leases,
+                          const std::map<std::string, size_t>& site_sizes,
+                          core::time_point now) {
   const std::vector<std::string> unreachable =
-      DarkSites(leases, site_sizes, 0, now);
+      UnreachableSites(leases, site_sizes, 0, now);
   for (auto& item : leases.holders) {
     lease_holder& holder = item.second;
     const bool is_cut_off = std::find(unreachable.begin(), unreachable.end(),
@@ -60,7 +60,7 @@
                      });
 }
 
-std::vector<std::string> DarkSites(
+std::vector<std::string> UnreachableSites(
     const lease_table& leases, const std::map<std::string, size_t>& site_sizes,
     uint64_t index, core::time_point now) {
   std::map<std::string, size_t> instances_in_force;
--- a/packages/control/configuration_lease.h
+++ b/packages/control/configuration_lease.h
@@ -48,9 +48,9 @@
 // Marks instances whose lease has expired while their site is unreachable,
 // since they may still be serving. Call it at short intervals; a renewal clears
 // the mark.
-void NoteDarkSites(lease_table& leases,
-                   const std::map<std::string, size_t>& site_sizes,
-                   core::time_point now);
+void MarkUnreachableSites(lease_table& leases,
+                          const std::map<std::string, size_t>& site_sizes,
+                          core::time_point now);
 
 // Releases the lease of an instance that shuts down.
 void ReleaseLease(lease_table& leases, const std::string& instance);
@@ -67,7 +67,7 @@
 // majority of its instances has no lease (see membership_service): two
 // majorities share an instance, so no change is accepted while such a site
 // serves an older revision.
-std::vector<std::string> DarkSites(
+std::vector<std::string> UnreachableSites(
     const lease_table& leases, const std::map<std::string, size_t>& site_sizes,
     uint64_t index, core::time_point now);
 
--- a/packages/control/replica.cc
+++ b/packages/control/replica.cc
@@ -49,7 +49,7 @@
 
 void replica::Tick() {
   group_.Tick();
-  NoteDarkSites(leases_, IncludedSites(), clock_.Now());
+  MarkUnreachableSites(leases_, IncludedSites(), clock_.Now());
   if (IsServing()) RemoveTerminatedInstances();
   RetryQueuedSubmissions();
   AnswerSubmissions();
@@ -156,7 +156,7 @@
   status.excluded_sites.assign(state_.excluded_sites.begin(),
                                state_.excluded_sites.end());
   if (IsServing()) {
-    status.dark_sites = DarkSites(leases_, IncludedSites(), 0, now);
+    status.dark_sites = UnreachableSites(leases_, IncludedSites(), 0, now);
     for (const auto& [instance, holder] : leases_.holders) {
       if (holder.expires_at > now) status.revisions[instance] = holder.revision;
     }
--- a/packages/control/replica_leases.cc
+++ b/packages/control/replica_leases.cc
@@ -61,7 +61,7 @@
       return;
     }
     const std::vector<std::string> unreachable =
-        DarkSites(leases_, IncludedSites(), 0, clock_.Now());
+        UnreachableSites(leases_, IncludedSites(), 0, clock_.Now());
     if (!unreachable.empty()) {
       LogEvent(event_id::kConfigurationHeld,
                {{"change", input.change_id}, {"site", unreachable.front()}});
@@ -118,7 +118,7 @@
 bool replica::Decide(pending_submission& item) {
   const core::time_point now = clock_.Now();
   const std::vector<std::string> unreachable =
-      DarkSites(leases_, IncludedSites(), item.index, now);
+      UnreachableSites(leases_, IncludedSites(), item.index, now);
   if (unreachable.empty() && IsInForceEverywhere(leases_, item.index, now)) {
     return true;
   }
--- a/tests/unit/control/configuration_lease_test.cc
+++ b/tests/unit/control/configuration_lease_test.cc
@@ -44,11 +44,11 @@
   RenewLease(leases, "a", "north", 5, 1, later);
   RenewLease(leases, "b", "north", 5, 1, later);
   RenewLease(leases, "s", "south", 4, 1, later);
-  EXPECT_TRUE(DarkSites(leases, sizes, 0, later).empty());
-  EXPECT_EQ(DarkSites(leases, sizes, 5, later),
+  EXPECT_TRUE(UnreachableSites(leases, sizes, 0, later).empty());
+  EXPECT_EQ(UnreachableSites(leases, sizes, 5, later),
             std::vector<std::string>{"south"});
   ReleaseLease(leases, "b");
-  EXPECT_EQ(DarkSites(leases, sizes, 0, later),
+  EXPECT_EQ(UnreachableSites(leases, sizes, 0, later),
             std::vector<std::string>{"north"});
 }
 
@@ -64,17 +64,17 @@
     RenewLease(leases, name, "south", 4, 1, now);
   }
   now += milliseconds(1200);
-  NoteDarkSites(leases, sizes, now);
+  MarkUnreachableSites(leases, sizes, now);
   RenewLease(leases, "s1", "south", 5, 2, now);
   RenewLease(leases, "s3", "south", 5, 2, now);
-  NoteDarkSites(leases, sizes, now);
-  EXPECT_TRUE(DarkSites(leases, sizes, 5, now).empty());
+  MarkUnreachableSites(leases, sizes, now);
+  EXPECT_TRUE(UnreachableSites(leases, sizes, 5, now).empty());
   EXPECT_FALSE(IsInForceEverywhere(leases, 5, now));
   lease_table renewed = leases;
   RenewLease(renewed, "s2", "south", 5, 2, now);
   EXPECT_TRUE(IsInForceEverywhere(renewed, 5, now));
   lease_table excluded = leases;
-  NoteDarkSites(excluded, {}, now);
+  MarkUnreachableSites(excluded, {}, now);
   EXPECT_TRUE(IsInForceEverywhere(excluded, 5, now));
 }
 
