--- a/packages/control/orders.cc
+++ b/packages/control/orders.cc
@@ -8,7 +8,7 @@
 
 constexpr unsigned kSequenceBits = 32;
 
-void Refill(order_book& tracker, const order_limits& limits,
+void Refill(order_tracker& tracker, const order_limits& limits,
             core::time_point now) {
   const double seconds =
       std::chrono::duration<double>(now - tracker.refilled_at).count();
@@ -20,7 +20,7 @@
 
 // Removes the orders that have completed according to the reports, and those
 // that have timed out.
-void RemoveFinishedOrders(order_book& tracker,
+void RemoveFinishedOrders(order_tracker& tracker,
                           const std::vector<engine_report>& engines,
                           const order_limits& limits, core::time_point now) {
   for (const engine_report& engine : engines) {
@@ -42,7 +42,7 @@
 };
 
 std::map<std::string, pool_count> CountPools(
-    const order_book& tracker, const std::vector<engine_report>& engines) {
+    const order_tracker& tracker, const std::vector<engine_report>& engines) {
   std::map<std::string, pool_count> pools;
   for (const engine_report& engine : engines) {
     pool_count& count = pools[engine.pool];
@@ -66,15 +66,16 @@
   return (term << kSequenceBits) | sequence;
 }
 
-void StartOrderBook(order_book& tracker, uint64_t term, core::time_point now) {
-  tracker = order_book{};
+void StartOrderBook(order_tracker& tracker, uint64_t term,
+                    core::time_point now) {
+  tracker = order_tracker{};
   tracker.term = term;
   tracker.refilled_at = now;
   tracker.tokens = 1;
 }
 
 std::vector<planned_order> PlanOrders(
-    order_book& tracker, const std::vector<engine_report>& engines,
+    order_tracker& tracker, const std::vector<engine_report>& engines,
     const std::map<std::string, swap_target>& targets,
     const order_limits& limits, core::time_point now) {
   Refill(tracker, limits, now);
@@ -100,7 +101,7 @@
   return plan;
 }
 
-void NoteOrderFailed(order_book& tracker, const std::string& engine) {
+void RecordOrderFailure(order_tracker& tracker, const std::string& engine) {
   tracker.open.erase(engine);
 }
 
--- a/packages/control/orders.h
+++ b/packages/control/orders.h
@@ -46,7 +46,7 @@
   core::time_point sent_at{};
 };
 
-struct order_book {
+struct order_tracker {
   uint64_t term = 0;      // term of the leader; part of each fencing number
   uint64_t sequence = 0;  // last sequence number used in this term
   // By engine id; each engine has at most one order in flight.
@@ -66,19 +66,20 @@
 
 // Starts the state of a new leader without open orders: the effect of the
 // orders of earlier leaders shows in the reports.
-void StartOrderBook(order_book& tracker, uint64_t term, core::time_point now);
+void StartOrderBook(order_tracker& tracker, uint64_t term,
+                    core::time_point now);
 
 // Returns the orders to send now and records them as open. The number of
 // engines that load at the same time never exceeds what the pool's floor
 // allows.
 std::vector<planned_order> PlanOrders(
-    order_book& tracker, const std::vector<engine_report>& engines,
+    order_tracker& tracker, const std::vector<engine_report>& engines,
     const std::map<std::string, swap_target>& targets,
     const order_limits& limits, core::time_point now);
 
 // Records that the engine rejected the order or was unreachable. The order may
 // be sent again at once.
-void NoteOrderFailed(order_book& tracker, const std::string& engine);
+void RecordOrderFailure(order_tracker& tracker, const std::string& engine);
 
 }  // namespace hickorywood::control
 
--- a/packages/hickoryd/order_service.cc
+++ b/packages/hickoryd/order_service.cc
@@ -130,7 +130,7 @@
                            const bool is_known_not_sent =
                                response.how != transport::delivery::kMaybeSent;
                            if (is_known_not_sent) {
-                             control::NoteOrderFailed(book_, order.engine);
+                             control::RecordOrderFailure(book_, order.engine);
                            }
                          });
                        });
--- a/tests/unit/control/orders_test.cc
+++ b/tests/unit/control/orders_test.cc
@@ -21,14 +21,14 @@
   return engines;
 }
 
-order_book MakeTracker() {
-  order_book tracker;
+order_tracker MakeTracker() {
+  order_tracker tracker;
   StartOrderBook(tracker, 3, kStart);
   return tracker;
 }
 
 TEST(OrdersTest, PlanKeepsTheFloor) {
-  order_book tracker = MakeTracker();
+  order_tracker tracker = MakeTracker();
   const auto plan = PlanOrders(tracker, Engines(10, 1), {{"p", {2, 0.7}}},
                                kFast, kStart + milliseconds(100));
   EXPECT_EQ(plan.size(), 3U);
@@ -38,7 +38,7 @@
 }
 
 TEST(OrdersTest, FloorOfOneStillAllowsOneEngine) {
-  order_book tracker = MakeTracker();
+  order_tracker tracker = MakeTracker();
   EXPECT_EQ(PlanOrders(tracker, Engines(4, 1), {{"p", {2, 1.0}}}, kFast,
                        kStart + milliseconds(100))
                 .size(),
@@ -46,7 +46,7 @@
 }
 
 TEST(OrdersTest, RateLimitOfTheWeightStore) {
-  order_book tracker = MakeTracker();
+  order_tracker tracker = MakeTracker();
   const order_limits slow{2, milliseconds(10000)};
   EXPECT_EQ(
       PlanOrders(tracker, Engines(20, 1), {{"p", {2, 0}}}, slow, kStart).size(),
@@ -60,7 +60,7 @@
 // A swap failed and the engine still reports the old version. After the timeout
 // the order is sent again, with a higher fencing number.
 TEST(OrdersTest, LostOrderIsSentAgain) {
-  order_book tracker = MakeTracker();
+  order_tracker tracker = MakeTracker();
   const auto first = PlanOrders(tracker, Engines(1, 1), {{"p", {2, 0}}}, kFast,
                                 kStart + milliseconds(10));
   ASSERT_EQ(first.size(), 1U);
@@ -78,7 +78,7 @@
 }
 
 TEST(OrdersTest, UpToDateEnginesGetNoOrder) {
-  order_book tracker = MakeTracker();
+  order_tracker tracker = MakeTracker();
   EXPECT_TRUE(PlanOrders(tracker, Engines(5, 2), {{"p", {2, 0}}}, kFast,
                          kStart + milliseconds(10))
                   .empty());
