--- a/packages/consensus/group_replica.cc
+++ b/packages/consensus/group_replica.cc
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-const char* RoleWord(raft_role role) {
+const char* RoleName(raft_role role) {
   switch (role) {
     case raft_role::kFollower:
       return "follower";
--- a/packages/consensus/group_replica.h
+++ b/packages/consensus/group_replica.h
@@ -182,7 +182,7 @@
 };
 
 // Name of a role for status pages and logs.
-const char* RoleWord(raft_role role);
+const char* RoleName(raft_role role);
 
 // "NODE/first digits of the storage id" of each member.
 std::vector<std::string> MemberTexts(const std::vector<member>& members);
--- a/packages/control/commands.cc
+++ b/packages/control/commands.cc
@@ -2,7 +2,7 @@
 
 namespace hickorywood::control {
 
-const char* OutcomeWord(command_outcome outcome) {
+const char* CommandOutcomeName(command_outcome outcome) {
   switch (outcome) {
     case command_outcome::kAccepted:
       return "accepted";
--- a/packages/control/commands.h
+++ b/packages/control/commands.h
@@ -109,7 +109,7 @@
                                                 body, content_type, batch)
 
 // Name of `outcome` in responses: "accepted", "conflict", ...
-const char* OutcomeWord(command_outcome outcome);
+const char* CommandOutcomeName(command_outcome outcome);
 
 }  // namespace hickorywood::control
 
--- a/packages/control/replica.cc
+++ b/packages/control/replica.cc
@@ -142,7 +142,7 @@
   status.group = raft.group;
   status.node = settings_.node;
   status.storage = raft.self.storage;
-  status.role = consensus::RoleWord(raft.role);
+  status.role = consensus::RoleName(raft.role);
   status.leader = raft.leader.node;
   status.term = raft.hard.term;
   status.commit = raft.commit;
--- a/packages/core/events.cc
+++ b/packages/core/events.cc
@@ -45,7 +45,7 @@
   return *kObserver;
 }
 
-const char* LevelWord(event_level level) {
+const char* LevelName(event_level level) {
   switch (level) {
     case event_level::kInfo:
       return "info";
@@ -66,7 +66,7 @@
   nlohmann::ordered_json line;
   line["time_ms"] = now_ms;
   line["event"] = "HK" + std::to_string(static_cast<int>(info.id));
-  line["level"] = LevelWord(info.level);
+  line["level"] = LevelName(info.level);
   line["subsystem"] = info.subsystem;
   line["text"] = info.text;
   for (const auto& [key, value] : fields) line[key] = value;
--- a/packages/core/reason.cc
+++ b/packages/core/reason.cc
@@ -9,7 +9,7 @@
 
 }  // namespace
 
-const char* ReasonWord(reason_code code) {
+const char* ReasonName(reason_code code) {
   switch (code) {
     case reason_code::kNone:
       return "none";
--- a/packages/core/reason.h
+++ b/packages/core/reason.h
@@ -28,7 +28,7 @@
 };
 
 // The stable lower-case name of `code`, as used in responses and logs.
-const char* ReasonWord(reason_code code);
+const char* ReasonName(reason_code code);
 
 // The reason of the last failed call on this thread.
 const reason& LastReason();
--- a/packages/hickoryd/call_service.cc
+++ b/packages/hickoryd/call_service.cc
@@ -170,8 +170,8 @@
   }
   const control::command_result& result = answer.result;
   explain_.Add(call->call.id, std::string("claim: ") +
-                                  control::OutcomeWord(result.outcome) + " " +
-                                  result.reason);
+                                  control::CommandOutcomeName(result.outcome) +
+                                  " " + result.reason);
   service_answer failure;
   failure.reason = result.reason;
   switch (result.outcome) {
--- a/packages/hickoryd/caller_api.cc
+++ b/packages/hickoryd/caller_api.cc
@@ -413,7 +413,7 @@
         const bool is_stale =
             answer.result.outcome == control::command_outcome::kStale;
         const nlohmann::json tree = {
-            {"outcome", control::OutcomeWord(answer.result.outcome)},
+            {"outcome", control::CommandOutcomeName(answer.result.outcome)},
             {"version", answer.result.version}};
         ReplyJson(exchange, is_stale ? 409 : 200, tree.dump());
       });
--- a/packages/hickoryd/event_metrics.cc
+++ b/packages/hickoryd/event_metrics.cc
@@ -25,7 +25,7 @@
   return *kBuckets;
 }
 
-const char* LevelWord(core::event_level level) {
+const char* LevelName(core::event_level level) {
   switch (level) {
     case core::event_level::kInfo:
       return "info";
@@ -64,7 +64,7 @@
   families_->events
       .Add({{"event", name},
             {"subsystem", info.subsystem},
-            {"level", LevelWord(info.level)}})
+            {"level", LevelName(info.level)}})
       .Increment();
   for (const auto& [field, value] : fields) {
     double millis = 0;
--- a/packages/hickoryd/operator_api.cc
+++ b/packages/hickoryd/operator_api.cc
@@ -88,7 +88,7 @@
           case control::proposal_status::kDone: {
             const bool is_accepted =
                 answer.result.outcome == control::command_outcome::kAccepted;
-            tree["status"] = control::OutcomeWord(answer.result.outcome);
+            tree["status"] = control::CommandOutcomeName(answer.result.outcome);
             ReplyJson(exchange, is_accepted ? 200 : 409, tree.dump());
             return;
           }
--- a/packages/quarantine/crash_ledger.cc
+++ b/packages/quarantine/crash_ledger.cc
@@ -171,7 +171,7 @@
 
 }  // namespace
 
-const char* WordOf(release_reason reason) {
+const char* ReleaseReasonName(release_reason reason) {
   switch (reason) {
     case release_reason::kServed:
       return "served";
--- a/packages/quarantine/crash_ledger.h
+++ b/packages/quarantine/crash_ledger.h
@@ -84,7 +84,7 @@
   kExplained,  // its crashes are attributed to another request
   kCleared,    // another instance cleared its crashes
 };
-const char* WordOf(release_reason reason);
+const char* ReleaseReasonName(release_reason reason);
 
 // A quarantine began or ended.
 struct quarantine_change {
--- a/packages/quarantine/quarantine_log.cc
+++ b/packages/quarantine/quarantine_log.cc
@@ -16,7 +16,8 @@
   for (const quarantine_change& item : changes) {
     if (!item.is_quarantined) {
       LogEvent(event_id::kQuarantineLifted,
-               {{"digest", item.digest}, {"reason", WordOf(item.reason)}});
+               {{"digest", item.digest},
+                {"reason", ReleaseReasonName(item.reason)}});
       continue;
     }
     const suspect& quarantined = ledger.suspects.at(item.digest);
--- a/packages/settings/schema.cc
+++ b/packages/settings/schema.cc
@@ -160,7 +160,7 @@
   return *kSchema;
 }
 
-const char* TypeWord(value_type type) {
+const char* TypeName(value_type type) {
   switch (type) {
     case value_type::kText:
       return "text";
--- a/packages/settings/schema.h
+++ b/packages/settings/schema.h
@@ -39,7 +39,7 @@
 const std::vector<setting_info>& FleetSchema();
 
 // Name of `type` in messages and in the documentation.
-const char* TypeWord(value_type type);
+const char* TypeName(value_type type);
 
 }  // namespace hickorywood::settings
 
--- a/packages/settings/yaml_document.cc
+++ b/packages/settings/yaml_document.cc
@@ -239,7 +239,7 @@
     } else {
       if (!value.IsScalar()) {
         AddFinding(value.Mark(),
-                   "'" + path + "': expected " + TypeWord(info.type));
+                   "'" + path + "': expected " + TypeName(info.type));
         return;
       }
       const std::string error_text = CheckScalar(info, value.Scalar());
--- a/tests/unit/settings/documentation_test.cc
+++ b/tests/unit/settings/documentation_test.cc
@@ -17,7 +17,7 @@
                                : std::string(info.default_text).empty()
                                    ? "empty"
                                    : "`" + std::string(info.default_text) + "`";
-  return "| `" + std::string(info.path) + "` | " + TypeWord(info.type) + " | " +
+  return "| `" + std::string(info.path) + "` | " + TypeName(info.type) + " | " +
          fallback + " |";
 }
 
