--- a/packages/consensus/group_health.cc
+++ b/packages/consensus/group_health.cc
@@ -63,7 +63,7 @@
   if (state.role == raft_role::kLeader) {
     const std::vector<member> unreachable = MissingVoters(state, now);
     if (unreachable != unreachable_) {
-      LogVoters(core::event_id::kVotersSilent, state, unreachable);
+      LogVoters(core::event_id::kVotersUnreachable, state, unreachable);
     }
     unreachable_ = unreachable;
     next_failure_log_ = time_point{};
--- a/packages/control/replica_leases.cc
+++ b/packages/control/replica_leases.cc
@@ -63,7 +63,7 @@
     const std::vector<std::string> unreachable =
         UnreachableSites(leases_, IncludedSites(), 0, clock_.Now());
     if (!unreachable.empty()) {
-      LogEvent(event_id::kConfigurationHeld,
+      LogEvent(event_id::kConfigurationBlocked,
                {{"change", input.change_id}, {"site", unreachable.front()}});
       refusal.status = proposal_status::kHeld;
       for (const std::string& site : unreachable) {
--- a/packages/controller/leader_service.cc
+++ b/packages/controller/leader_service.cc
@@ -384,7 +384,7 @@
   envelope answer = co_await stores_caller_.Ask(
       std::move(method), peering::EncodeName(found->second.address),
       clock_.Now() + kRetireTimeout, kRetireTimeout);
-  LogEvent(event_id::kRetirementAsked,
+  LogEvent(event_id::kRetirementRequested,
            {{"instance", input->name}, {"reason", answer.reason}});
   co_return answer;
 }
--- a/packages/hickoryd/call_quarantine.cc
+++ b/packages/hickoryd/call_quarantine.cc
@@ -250,7 +250,7 @@
   news.seen.reports = std::move(found->second.running_requests);
   broken_endpoints_.erase(found);
   for (const fleet::crash_report& report : news.seen.reports) {
-    LogEvent(event_id::kEndpointEndedUnderRequest,
+    LogEvent(event_id::kEndpointCrashedUnderRequest,
              {{"digest", report.digest},
               {"customer", report.customer},
               {"endpoint", incarnation}});
--- a/packages/hickoryd/node_main.cc
+++ b/packages/hickoryd/node_main.cc
@@ -162,7 +162,8 @@
   core::log_sink::Standard().OnFirstLine([this] { ScheduleLogFlush(); });
   StartMetrics();
   if (!StartRole()) {
-    LogEvent(event_id::kChildGaveUp, {{"reason", core::LastReason().text}});
+    LogEvent(event_id::kChildRestartLimitReached,
+             {{"reason", core::LastReason().text}});
     core::log_sink::Standard().Flush();
     return kExitFailed;
   }
--- a/packages/hickoryd/supervisor.cc
+++ b/packages/hickoryd/supervisor.cc
@@ -38,9 +38,10 @@
   for (size_t i = first; i < children_.size(); ++i) {
     running_child& child = children_[i];
     if (!child.spec.start()) {
-      LogEvent(event_id::kChildGaveUp, {{"parent", name_},
-                                        {"child", child.spec.name},
-                                        {"reason", core::LastReason().text}});
+      LogEvent(event_id::kChildRestartLimitReached,
+               {{"parent", name_},
+                {"child", child.spec.name},
+                {"reason", core::LastReason().text}});
       StopFrom(0);
       return false;
     }
@@ -76,7 +77,7 @@
     running_child& child = children_[i];
     if (!child.spec.is_healthy || child.spec.is_healthy()) continue;
     if (!MayRestart(child)) {
-      LogEvent(event_id::kChildGaveUp,
+      LogEvent(event_id::kChildRestartLimitReached,
                {{"parent", name_}, {"child", child.spec.name}});
       return false;
     }
--- a/packages/net/call.cc
+++ b/packages/net/call.cc
@@ -18,7 +18,7 @@
 
 void LogMismatchedAnswer(const connection& from, const header& id,
                          const response& head) {
-  core::LogEvent(core::event_id::kForeignAnswer,
+  core::LogEvent(core::event_id::kMismatchedAnswer,
                  {{"request", id.value},
                   {"found", std::string(Find(head.headers, id.name))},
                   {"status", std::to_string(head.status)},
--- a/packages/peering/view_follower.cc
+++ b/packages/peering/view_follower.cc
@@ -50,9 +50,10 @@
     const bool is_answered = answer.outcome == call_outcome::kDone;
     if (is_answered != is_following_) {
       is_following_ = is_answered;
-      LogEvent(is_answered ? event_id::kLeaderFound : event_id::kLeaderMissed,
-               {{"reason", answer.reason},
-                {"configuration", std::to_string(view_.config.version)}});
+      LogEvent(
+          is_answered ? event_id::kLeaderFound : event_id::kLeaderUnreachable,
+          {{"reason", answer.reason},
+           {"configuration", std::to_string(view_.config.version)}});
     }
     if (is_answered) {
       Apply(answer);
--- a/packages/quarantine/crash_detector.cc
+++ b/packages/quarantine/crash_detector.cc
@@ -226,9 +226,10 @@
   }
   const time_point now = clock_.Now();
   for (const affected_request& item : requests) {
-    LogEvent(event_id::kEndpointEndedUnderRequest, {{"digest", item.digest},
-                                                    {"customer", item.customer},
-                                                    {"endpoint", incarnation}});
+    LogEvent(event_id::kEndpointCrashedUnderRequest,
+             {{"digest", item.digest},
+              {"customer", item.customer},
+              {"endpoint", incarnation}});
     const fleet::crash_report report{item.digest, item.customer, incarnation};
     RecordCrash(ledger_, report, now);
     outbox_.reports.push_back(report);
--- a/packages/store/dispatcher_runs.cc
+++ b/packages/store/dispatcher_runs.cc
@@ -169,7 +169,7 @@
 void dispatcher::RescheduleLostRuns(const std::string& runner,
                                     const std::vector<uint64_t>& runs) {
   if (runs.empty()) return;
-  LogEvent(event_id::kRunnerLost,
+  LogEvent(event_id::kRunnerUnreachable,
            {{"runner", runner}, {"runs", std::to_string(runs.size())}});
   for (const uint64_t id : runs) {
     const auto found = runs_by_id_.find(id);
@@ -328,9 +328,9 @@
   task.is_waiting_for_quarantine = crashes_.CheckDigest(task.digest).state ==
                                    quarantine::quarantine_state::kQuarantined;
   if (task.is_waiting_for_quarantine && !was_waiting_for_quarantine) {
-    LogEvent(event_id::kTaskHeldBack, {{"step", key.step},
-                                       {"task", Text(key.task)},
-                                       {"digest", task.digest}});
+    LogEvent(event_id::kTaskQuarantined, {{"step", key.step},
+                                          {"task", Text(key.task)},
+                                          {"digest", task.digest}});
   }
   return task.is_waiting_for_quarantine;
 }
--- a/packages/store/remote_runner.cc
+++ b/packages/store/remote_runner.cc
@@ -212,7 +212,7 @@
     const auto since_answer = clock_.Now() - last_answer_at_;
     if (since_answer <= kLeaderContactTimeout) continue;
     core::LogEvent(
-        core::event_id::kRunsWithoutLeader,
+        core::event_id::kRunsCancelledWithoutLeader,
         {{"runs", std::to_string(runs_.CountRunning() + waiting_.size())},
          {"silence_ms",
           std::to_string(std::chrono::duration_cast<milliseconds>(since_answer)
--- a/packages/store/store_instance.cc
+++ b/packages/store/store_instance.cc
@@ -122,7 +122,7 @@
       ended += step.is_ended ? 1 : 0;
       results += step.results.size();
     }
-    LogEvent(event_id::kStepsHeld,
+    LogEvent(event_id::kStepsLoadedByLeader,
              {{"steps", std::to_string(state.Steps().size())},
               {"ended", std::to_string(ended)},
               {"results", std::to_string(results)}});
