--- a/packages/hickoryd/membership_service.cc
+++ b/packages/hickoryd/membership_service.cc
@@ -116,8 +116,8 @@
         if (!reply) return;
         context_.control.Post([this, up_to, reply] {
           std::vector<std::string> changed;
-          membership::TakeReply(exchange_, *reply, up_to, context_.clock.Now(),
-                                changed);
+          membership::MergeReply(exchange_, *reply, up_to, context_.clock.Now(),
+                                 changed);
           needs_publish_ = true;
           HandleTableChanges(changed);
         });
--- a/packages/membership/exchange.cc
+++ b/packages/membership/exchange.cc
@@ -55,7 +55,7 @@
 // endpoint, or of another process of the endpoint, is ignored: the next full
 // exchange contains the complete record.
 std::optional<announcement> ApplyRefresh(const endpoint_table& table,
-                                         const told_refresh& update) {
+                                         const record_refresh& update) {
   const auto found = table.records.find(update.id);
   if (found == table.records.end() ||
       found->second.latest.boot != update.boot) {
@@ -80,10 +80,10 @@
     const announcement& latest = found->second.latest;
     if (latest.boot == boot && latest.seq == seq) known.insert(id);
   };
-  for (const told_record& update : message.records) {
+  for (const record_update& update : message.records) {
     add(update.latest.id, update.latest.boot, update.latest.seq);
   }
-  for (const told_refresh& update : message.refreshes) {
+  for (const record_refresh& update : message.refreshes) {
     add(update.id, update.boot, update.seq);
   }
   return known;
@@ -103,11 +103,11 @@
 
 void MergeRecords(exchange_state& state, const exchange_message& message,
                   time_point now, std::vector<std::string>& changed) {
-  for (const told_record& update : message.records) {
+  for (const record_update& update : message.records) {
     MergeOne(state, update.latest, update.lease_left_ms, message.from.id, now,
              changed);
   }
-  for (const told_refresh& update : message.refreshes) {
+  for (const record_refresh& update : message.refreshes) {
     const std::optional<announcement> next = ApplyRefresh(state.table, update);
     if (next) {
       MergeOne(state, *next, update.lease_left_ms, message.from.id, now,
@@ -185,9 +185,9 @@
   return reply;
 }
 
-void TakeReply(exchange_state& state, const exchange_message& reply,
-               uint64_t sent_up_to, time_point now,
-               std::vector<std::string>& changed) {
+void MergeReply(exchange_state& state, const exchange_message& reply,
+                uint64_t sent_up_to, time_point now,
+                std::vector<std::string>& changed) {
   peer_progress& progress = state.peers[reply.from.id];
   UpdatePeerInfo(progress, reply.from, now);
   MergeRecords(state, reply, now, changed);
--- a/packages/membership/exchange.h
+++ b/packages/membership/exchange.h
@@ -36,7 +36,7 @@
 
 // Update of the lease and the load of an endpoint that the receiver already
 // has.
-struct told_refresh {
+struct record_refresh {
   std::string id;
   int64_t boot = 0;
   uint64_t seq = 0;
@@ -44,14 +44,14 @@
   int64_t queued = 0;
   int64_t lease_left_ms = 0;
 };
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(told_refresh, id, boot, seq,
+NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(record_refresh, id, boot, seq,
                                                 running, queued, lease_left_ms)
 
-struct told_record {
+struct record_update {
   announcement latest;
   int64_t lease_left_ms = 0;
 };
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(told_record, latest,
+NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(record_update, latest,
                                                 lease_left_ms)
 
 // Used for both the request and the reply.
@@ -63,8 +63,8 @@
   // Version of the sender's table that the receiver has after merging the
   // records.
   uint64_t up_to = 0;
-  std::vector<told_record> records;
-  std::vector<told_refresh> refreshes;
+  std::vector<record_update> records;
+  std::vector<record_refresh> refreshes;
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(exchange_message, from,
                                                 seen_version, seen_boot, up_to,
@@ -110,9 +110,9 @@
 
 // Merges the reply to a request that contained this table up to version
 // `sent_up_to`.
-void TakeReply(exchange_state& state, const exchange_message& reply,
-               uint64_t sent_up_to, core::time_point now,
-               std::vector<std::string>& changed);
+void MergeReply(exchange_state& state, const exchange_message& reply,
+                uint64_t sent_up_to, core::time_point now,
+                std::vector<std::string>& changed);
 
 }  // namespace hickorywood::membership
 
--- a/tests/unit/membership/exchange_test.cc
+++ b/tests/unit/membership/exchange_test.cc
@@ -62,7 +62,7 @@
       const exchange_message reply =
           AnswerRequest(all.nodes[j], other, request, now, changed);
       if (!is_lost()) {
-        TakeReply(all.nodes[i], reply, request.up_to, now, changed);
+        MergeReply(all.nodes[i], reply, request.up_to, now, changed);
       }
     }
   }
@@ -154,7 +154,7 @@
         std::vector<std::string> changed;
         const exchange_message reply = AnswerRequest(
             all.nodes[j], {peer, "boot"}, request, later, changed);
-        TakeReply(all.nodes[i], reply, request.up_to, later, changed);
+        MergeReply(all.nodes[i], reply, request.up_to, later, changed);
         records += request.records.size() + reply.records.size();
         refreshes += request.refreshes.size() + reply.refreshes.size();
       }
