--- a/packages/controller/controller.cc
+++ b/packages/controller/controller.cc
@@ -191,7 +191,7 @@
   const settings::node_settings& settings = impl_->settings;
   const bool is_founder = settings.is_first_start && !settings.seeds.empty() &&
                           settings.seeds.front() == settings.peers_address;
-  if (is_founder) impl_->group.Found();
+  if (is_founder) impl_->group.Bootstrap();
   impl_->service.Start();
   impl_->keeper.Start();
   impl_->heartbeats.Start();
--- a/packages/group/group_host.cc
+++ b/packages/group/group_host.cc
@@ -80,7 +80,7 @@
   return true;
 }
 
-void group_host::Found() {
+void group_host::Bootstrap() {
   if (!IsInGroup()) replica_.Bootstrap(settings_.name);
 }
 
--- a/packages/group/group_host.h
+++ b/packages/group/group_host.h
@@ -49,7 +49,7 @@
   bool Start();
   // Makes this replica the first voter of the group, if it is in no group.
   // Exactly one instance may ever do this.
-  void Found();
+  void Bootstrap();
   // Sets other instances that may be members, to which requests to join are
   // sent.
   void SetContacts(std::vector<std::string> contacts);
--- a/packages/store/store_instance.cc
+++ b/packages/store/store_instance.cc
@@ -104,7 +104,7 @@
     leader.SetControllers(peering::StoreAddresses(view));
     const bool is_founder = settings.is_first_start &&
                             view.members.data_founder == settings.peers_address;
-    if (is_founder) group.Found();
+    if (is_founder) group.Bootstrap();
     sender.OnEndpoints();
     crashes.OnView();
     dispatch.OnView();
