--- a/packages/hickoryd/caller_api.cc
+++ b/packages/hickoryd/caller_api.cc
@@ -97,23 +97,23 @@
 }
 
 void caller_api::AddRoute(
-    const std::string& method, const std::string& pattern, audience who,
+    const std::string& method, const std::string& pattern, required_role who,
     std::function<void(const exchange_ptr&, const path_parts&)> handle) {
   routes_.push_back({method, SplitPath(pattern), who, std::move(handle)});
 }
 
 void caller_api::AddPlatformRoutes() {
-  AddRoute("GET", "/healthz", audience::kAnyone,
+  AddRoute("GET", "/healthz", required_role::kAnyone,
            [](const exchange_ptr& exchange, const path_parts&) {
              ReplyJson(exchange, 200, R"({"alive":true})");
            });
-  AddRoute("GET", "/readyz", audience::kAnyone,
+  AddRoute("GET", "/readyz", required_role::kAnyone,
            [this](const exchange_ptr& exchange, const path_parts&) {
              const bool is_ready = StatusFromView(parts_.context).is_ready;
              ReplyJson(exchange, is_ready ? 200 : 503,
                        is_ready ? R"({"ready":true})" : R"({"ready":false})");
            });
-  AddRoute("GET", "/metrics", audience::kAnyone,
+  AddRoute("GET", "/metrics", required_role::kAnyone,
            [this](const exchange_ptr& exchange, const path_parts&) {
              parts_.context.counters.SetGauge(
                  "control_queue",
@@ -127,30 +127,30 @@
              exchange->Reply(200, {}, "text/plain; version=0.0.4",
                              parts_.context.counters.Text());
            });
-  AddRoute("POST", "/v1/announcements", audience::kEndpoints,
+  AddRoute("POST", "/v1/announcements", required_role::kEndpoints,
            [this](const exchange_ptr& exchange, const path_parts&) {
              Announce(exchange);
            });
 }
 
 void caller_api::AddTrafficRoutes() {
-  AddRoute("*", "/v1/services/:service/**", audience::kTrainers,
+  AddRoute("*", "/v1/services/:service/**", required_role::kTrainers,
            [this](const exchange_ptr& exchange, const path_parts& names) {
              CallService(exchange, names[0]);
            });
-  AddRoute("POST", "/v1/pools/:pool/generate", audience::kTrainers,
+  AddRoute("POST", "/v1/pools/:pool/generate", required_role::kTrainers,
            [this](const exchange_ptr& exchange, const path_parts& names) {
              Generate(exchange, names[0]);
            });
-  AddRoute("POST", "/v1/pools/:pool/steps", audience::kTrainers,
+  AddRoute("POST", "/v1/pools/:pool/steps", required_role::kTrainers,
            [this](const exchange_ptr& exchange, const path_parts& names) {
              OpenStep(exchange, names[0]);
            });
-  AddRoute("POST", "/v1/pools/:pool/steps/:step/pull", audience::kTrainers,
+  AddRoute("POST", "/v1/pools/:pool/steps/:step/pull", required_role::kTrainers,
            [this](const exchange_ptr& exchange, const path_parts& names) {
              Pull(exchange, names[0], names[1]);
            });
-  AddRoute("POST", "/v1/pools/:pool/weights", audience::kTrainers,
+  AddRoute("POST", "/v1/pools/:pool/weights", required_role::kTrainers,
            [this](const exchange_ptr& exchange, const path_parts& names) {
              PublishWeights(exchange, names[0]);
            });
@@ -173,13 +173,14 @@
                "no such route", milliseconds(0));
 }
 
-bool caller_api::CheckAccess(const exchange_ptr& exchange, audience who) {
+bool caller_api::CheckAccess(const exchange_ptr& exchange, required_role who) {
   const settings::token_set& tokens = parts_.context.settings.tokens;
   const std::string none;
-  const std::string& expected = who == audience::kOperators   ? tokens.operators
-                                : who == audience::kEndpoints ? tokens.endpoints
-                                : who == audience::kTrainers  ? tokens.trainers
-                                                              : none;
+  const std::string& expected =
+      who == required_role::kOperators   ? tokens.operators
+      : who == required_role::kEndpoints ? tokens.endpoints
+      : who == required_role::kTrainers  ? tokens.trainers
+                                         : none;
   const transport::access_result access =
       transport::CheckBearer(exchange->Header("Authorization"), expected);
   if (access == transport::access_result::kGranted) return true;
--- a/packages/hickoryd/caller_api.h
+++ b/packages/hickoryd/caller_api.h
@@ -21,22 +21,22 @@
   void Handle(const exchange_ptr& exchange);
 
  private:
-  enum class audience { kAnyone, kOperators, kEndpoints, kTrainers };
+  enum class required_role { kAnyone, kOperators, kEndpoints, kTrainers };
   using path_parts = std::vector<std::string>;
   struct route {
     std::string method;  // "*": any
     path_parts pattern;  // ":name" matches one part, "**" the rest
-    audience who = audience::kAnyone;
+    required_role who = required_role::kAnyone;
     std::function<void(const exchange_ptr&, const path_parts&)> handle;
   };
 
   void AddRoute(
-      const std::string& method, const std::string& pattern, audience who,
+      const std::string& method, const std::string& pattern, required_role who,
       std::function<void(const exchange_ptr&, const path_parts&)> handle);
   void AddPlatformRoutes();
   void AddTrafficRoutes();
   void AddOperatorRoutes();
-  bool CheckAccess(const exchange_ptr& exchange, audience who);
+  bool CheckAccess(const exchange_ptr& exchange, required_role who);
   bool RejectIfDraining(const exchange_ptr& exchange);
 
   void Announce(const exchange_ptr& exchange);
--- a/packages/hickoryd/operator_api.cc
+++ b/packages/hickoryd/operator_api.cc
@@ -23,43 +23,43 @@
 }  // namespace
 
 void caller_api::AddOperatorRoutes() {
-  AddRoute("POST", "/v1/configuration", audience::kOperators,
+  AddRoute("POST", "/v1/configuration", required_role::kOperators,
            [this](const exchange_ptr& exchange, const path_parts&) {
              SubmitConfiguration(exchange);
            });
-  AddRoute("GET", "/v1/configuration", audience::kOperators,
+  AddRoute("GET", "/v1/configuration", required_role::kOperators,
            [this](const exchange_ptr& exchange, const path_parts&) {
              ShowConfiguration(exchange);
            });
-  AddRoute("POST", "/v1/sites/:site/exclude", audience::kOperators,
+  AddRoute("POST", "/v1/sites/:site/exclude", required_role::kOperators,
            [this](const exchange_ptr& exchange, const path_parts& names) {
              ExcludeSite(exchange, names[0], true);
            });
-  AddRoute("POST", "/v1/sites/:site/include", audience::kOperators,
+  AddRoute("POST", "/v1/sites/:site/include", required_role::kOperators,
            [this](const exchange_ptr& exchange, const path_parts& names) {
              ExcludeSite(exchange, names[0], false);
            });
-  AddRoute("POST", "/v1/group/bootstrap", audience::kOperators,
+  AddRoute("POST", "/v1/group/bootstrap", required_role::kOperators,
            [this](const exchange_ptr& exchange, const path_parts&) {
              Bootstrap(exchange);
            });
-  AddRoute("GET", "/v1/status", audience::kOperators,
+  AddRoute("GET", "/v1/status", required_role::kOperators,
            [this](const exchange_ptr& exchange, const path_parts&) {
              ShowStatus(exchange);
            });
-  AddRoute("GET", "/v1/report/burn", audience::kOperators,
+  AddRoute("GET", "/v1/report/burn", required_role::kOperators,
            [this](const exchange_ptr& exchange, const path_parts&) {
              ShowBurn(exchange);
            });
-  AddRoute("GET", "/v1/explain/:id", audience::kOperators,
+  AddRoute("GET", "/v1/explain/:id", required_role::kOperators,
            [this](const exchange_ptr& exchange, const path_parts& names) {
              Explain(exchange, names[0]);
            });
-  AddRoute("GET", "/v1/snapshot", audience::kOperators,
+  AddRoute("GET", "/v1/snapshot", required_role::kOperators,
            [this](const exchange_ptr& exchange, const path_parts&) {
              ShowSnapshot(exchange);
            });
-  AddRoute("POST", "/v1/drain", audience::kOperators,
+  AddRoute("POST", "/v1/drain", required_role::kOperators,
            [this](const exchange_ptr& exchange, const path_parts&) {
              ReplyJson(exchange, 202, R"({"draining":true})");
              begin_drain_();
