--- a/packages/hickoryd/body_holder.cc
+++ b/packages/hickoryd/body_holder.cc
@@ -81,7 +81,8 @@
 void body_holder::Fetch(const std::string& peer, const std::string& step_key,
                         std::function<void(std::optional<held_bodies>)> done) {
   context_.links.Call(
-      peer, kFetchPath, core::Encode(held_question{step_key}), kFetchTimeout,
+      peer, kFetchPath, core::Encode(held_bodies_request{step_key}),
+      kFetchTimeout,
       [this, done = std::move(done)](const transport::http_response& response) {
         std::optional<held_bodies> bodies;
         if (response.how == transport::delivery::kAnswered &&
--- a/packages/hickoryd/body_holder.h
+++ b/packages/hickoryd/body_holder.h
@@ -22,7 +22,7 @@
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(held_sample, slot, body)
 
 // A copy to store, a request to remove bodies, or the response to
-// held_question.
+// held_bodies_request.
 struct held_bodies {
   std::string step_key;
   std::string spec;  // empty: unchanged
@@ -34,10 +34,10 @@
                                                 samples, dropped,
                                                 is_step_dropped)
 
-struct held_question {
+struct held_bodies_request {
   std::string step_key;
 };
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(held_question, step_key)
+NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(held_bodies_request, step_key)
 
 class body_holder {
  public:
--- a/packages/hickoryd/peer_api.cc
+++ b/packages/hickoryd/peer_api.cc
@@ -174,7 +174,7 @@
   };
   routes_[body_holder::kFetchPath] = [this,
                                       &traffic](const exchange_ptr& exchange) {
-    const auto request = DecodeBody<held_question>(exchange);
+    const auto request = DecodeBody<held_bodies_request>(exchange);
     if (!request) return;
     RunOn(traffic, exchange, [this, request, exchange] {
       ReplyJson(exchange, 200,
