--- a/packages/hickoryd/call_quarantine.cc
+++ b/packages/hickoryd/call_quarantine.cc
@@ -67,7 +67,7 @@
   if (list.size() > kMaxReports) list.resize(kMaxReports);
 }
 
-void Append(quarantine_news& news, const quarantine_news& more) {
+void Append(quarantine_update& news, const quarantine_update& more) {
   Append(news.seen.reports, more.seen.reports);
   Append(news.seen.served, more.seen.served);
   Append(news.doubts, more.doubts);
@@ -134,7 +134,7 @@
                                               IncarnationOf(target)};
   if (!Watch(suspected_request, target)) return;
   AddUnconfirmed(suspected_request);
-  quarantine_news news;
+  quarantine_update news;
   news.doubts = {suspected_request};
   QueueForAll(news);
 }
@@ -246,7 +246,7 @@
 void call_quarantine::OnCrashConfirmed(const std::string& incarnation) {
   const auto found = broken_endpoints_.find(incarnation);
   if (found == broken_endpoints_.end()) return;
-  quarantine_news news;
+  quarantine_update news;
   news.seen.reports = std::move(found->second.running_requests);
   broken_endpoints_.erase(found);
   for (const fleet::crash_report& report : news.seen.reports) {
@@ -265,7 +265,7 @@
       !unconfirmed_.empty() ||
       quarantine::MayMatchSuspect(ledger_, key_, input);
   if (!may_have_crashes) return;
-  quarantine_news news;
+  quarantine_update news;
   const std::string digest = quarantine::DigestOf(key_, input);
   if (CrashesOf(digest).empty()) return;
   news.seen.served = {digest};
@@ -289,7 +289,7 @@
 // Each instance reports only the crashes that it detected itself. It passes
 // received reports on only to instances that start: if they were relayed
 // further, old crashes would never expire.
-void call_quarantine::QueueForAll(const quarantine_news& news) {
+void call_quarantine::QueueForAll(const quarantine_update& news) {
   for (auto& [peer, box] : outboxes_) Append(box.next, news);
   SendQueuedUpdates();
 }
@@ -302,9 +302,9 @@
   outbox& box = outboxes_.at(peer);
   if (box.is_calling || box.next.IsEmpty()) return;
   box.is_calling = true;
-  const quarantine_news sent_update = std::exchange(box.next, {});
+  const quarantine_update sent_update = std::exchange(box.next, {});
   context_.links.Call(
-      peer, kNewsPath, core::Encode(sent_update), kUpdateTimeout,
+      peer, kUpdatePath, core::Encode(sent_update), kUpdateTimeout,
       [this, peer, sent_update](const http_response& response) {
         context_.traffic.Post([this, peer, sent_update, response] {
           HandleUpdateReply(peer, sent_update, response);
@@ -313,7 +313,7 @@
 }
 
 void call_quarantine::HandleUpdateReply(const std::string& peer,
-                                        const quarantine_news& sent_update,
+                                        const quarantine_update& sent_update,
                                         const http_response& response) {
   outbox& box = outboxes_.at(peer);
   box.is_calling = false;
@@ -323,7 +323,7 @@
     list = core::Decode<quarantine_list>(response.body);
   }
   if (!list) {
-    quarantine_news again = sent_update;
+    quarantine_update again = sent_update;
     again.doubts.clear();  // would arrive too late to count
     Append(again, box.next);
     box.next = std::move(again);
@@ -344,7 +344,7 @@
   SendUpdate(peer);
 }
 
-quarantine_list call_quarantine::ApplyUpdate(const quarantine_news& input) {
+quarantine_list call_quarantine::ApplyUpdate(const quarantine_update& input) {
   const core::time_point now = context_.clock.Now();
   for (const fleet::crash_report& report : input.seen.reports) {
     quarantine::LogChanges(ledger_,
--- a/packages/hickoryd/call_quarantine.h
+++ b/packages/hickoryd/call_quarantine.h
@@ -21,7 +21,7 @@
 namespace hickorywood::hickoryd {
 
 // The update that one instance sends to another.
-struct quarantine_news {
+struct quarantine_update {
   // Crashes and releases that the sender observed since its last update.
   fleet::crash_update seen;
   // Connections that broke while a request ran. Whether the endpoint crashed is
@@ -34,7 +34,7 @@
            doubts.empty();
   }
 };
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(quarantine_news, seen, doubts,
+NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(quarantine_update, seen, doubts,
                                                 wants_all)
 
 // The response to an update with `wants_all`.
@@ -45,7 +45,7 @@
 
 class call_quarantine {
  public:
-  static constexpr char kNewsPath[] = "/peer/v1/quarantine";
+  static constexpr char kUpdatePath[] = "/peer/v1/quarantine";
 
   explicit call_quarantine(instance_context& context);
 
@@ -68,7 +68,7 @@
   void RecordServed(const quarantine::request_identity& input);
 
   // Applies the update of another instance.
-  quarantine_list ApplyUpdate(const quarantine_news& input);
+  quarantine_list ApplyUpdate(const quarantine_update& input);
 
  private:
   // An endpoint that returned no complete response, and the requests that were
@@ -82,7 +82,7 @@
   };
   // The update that is still to be sent to another instance.
   struct outbox {
-    quarantine_news next;
+    quarantine_update next;
     bool is_calling = false;
   };
 
@@ -103,11 +103,11 @@
                          const transport::http_response& response);
   void OnCrashConfirmed(const std::string& incarnation);
   void ApplyServed(const std::string& digest);
-  void QueueForAll(const quarantine_news& news);
+  void QueueForAll(const quarantine_update& news);
   void SendQueuedUpdates();
   void SendUpdate(const std::string& peer);
   void HandleUpdateReply(const std::string& peer,
-                         const quarantine_news& sent_update,
+                         const quarantine_update& sent_update,
                          const transport::http_response& response);
   void Expire();
 
--- a/packages/hickoryd/peer_api.cc
+++ b/packages/hickoryd/peer_api.cc
@@ -181,9 +181,9 @@
                 core::Encode(parts_.bodies.Get(request->step_key)));
     });
   };
-  routes_[call_quarantine::kNewsPath] =
+  routes_[call_quarantine::kUpdatePath] =
       [this, &traffic](const exchange_ptr& exchange) {
-        const auto news = DecodeBody<quarantine_news>(exchange);
+        const auto news = DecodeBody<quarantine_update>(exchange);
         if (!news) return;
         RunOn(traffic, exchange, [this, news, exchange] {
           ReplyJson(exchange, 200,
