--- a/packages/hickoryd/context.h
+++ b/packages/hickoryd/context.h
@@ -24,7 +24,7 @@
   core::event_loop& traffic;  // owns active requests and steps
   transport::http_client& client;
   peer_links& links;
-  view_board& board;
+  routing_view_holder& board;
   metrics& counters;
   std::atomic<bool>& is_draining;
 };
--- a/packages/hickoryd/instance.cc
+++ b/packages/hickoryd/instance.cc
@@ -108,7 +108,7 @@
   core::event_loop traffic;
   transport::http_client client;
   peer_links links;
-  view_board board;
+  routing_view_holder board;
   metrics counters;
   std::atomic<bool> is_draining{false};
   instance_context context;
--- a/packages/hickoryd/routing_view.cc
+++ b/packages/hickoryd/routing_view.cc
@@ -25,12 +25,12 @@
   return now - instance.heard_at < kAliveAfterNews;
 }
 
-void view_board::Publish(std::shared_ptr<const routing_view> view) {
+void routing_view_holder::Publish(std::shared_ptr<const routing_view> view) {
   const std::lock_guard<std::mutex> lock(mutex_);
   view_ = std::move(view);
 }
 
-std::shared_ptr<const routing_view> view_board::Get() const {
+std::shared_ptr<const routing_view> routing_view_holder::Get() const {
   const std::lock_guard<std::mutex> lock(mutex_);
   return view_;
 }
--- a/packages/hickoryd/routing_view.h
+++ b/packages/hickoryd/routing_view.h
@@ -54,7 +54,7 @@
 bool IsAlive(const instance_view& instance, core::time_point now);
 
 // Stores the latest view. Safe from any thread.
-class view_board {
+class routing_view_holder {
  public:
   void Publish(std::shared_ptr<const routing_view> view);
   std::shared_ptr<const routing_view> Get() const;
