--- a/packages/controller/call_limits.h
+++ b/packages/controller/call_limits.h
@@ -10,10 +10,10 @@
 // Callers switch to another instance when they get no response within a second.
 // This limit is shorter, so that they receive an error that says more than
 // their own timeout.
-constexpr std::chrono::milliseconds kPatience{850};
+constexpr std::chrono::milliseconds kForwardTimeout{850};
 // Limit of one attempt. It leaves time for a second attempt, at the next
 // leader.
-constexpr std::chrono::milliseconds kOneTry{600};
+constexpr std::chrono::milliseconds kAttemptTimeout{600};
 
 }  // namespace hickorywood::controller
 
--- a/packages/controller/control_api.cc
+++ b/packages/controller/control_api.cc
@@ -39,9 +39,9 @@
 awaitable<net::response> control_api::Forward(std::string method,
                                               std::string payload) {
   const core::time_point deadline =
-      std::chrono::steady_clock::now() + kPatience;
+      std::chrono::steady_clock::now() + kForwardTimeout;
   const envelope answer = co_await caller_.Ask(
-      std::move(method), std::move(payload), deadline, kOneTry);
+      std::move(method), std::move(payload), deadline, kAttemptTimeout);
   if (answer.outcome != call_outcome::kDone) co_return FailureOf(answer);
   co_return wire_.EncodeAcknowledgement("");
 }
@@ -49,7 +49,7 @@
 awaitable<net::response> control_api::ListQuarantine() {
   const envelope answer = co_await caller_.Ask(
       peering::kWarningsMethod, "",
-      std::chrono::steady_clock::now() + kPatience, kOneTry);
+      std::chrono::steady_clock::now() + kForwardTimeout, kAttemptTimeout);
   const auto held =
       answer.outcome == call_outcome::kDone
           ? core::DecodeBinary<peering::warning_list>(answer.payload)
@@ -107,9 +107,9 @@
   }
   if (std::holds_alternative<fleet::get_configuration_call>(call)) {
     const core::time_point deadline =
-        std::chrono::steady_clock::now() + kPatience;
+        std::chrono::steady_clock::now() + kForwardTimeout;
     const envelope answer = co_await caller_.Ask(
-        peering::kGetConfigurationMethod, "", deadline, kOneTry);
+        peering::kGetConfigurationMethod, "", deadline, kAttemptTimeout);
     const auto held =
         answer.outcome == call_outcome::kDone
             ? core::DecodeBinary<peering::configuration_text>(answer.payload)
@@ -124,7 +124,7 @@
   const auto& status = std::get<fleet::retirement_status_call>(call);
   const envelope answer = co_await caller_.Ask(
       peering::kRetirementMethod, peering::EncodeName(status.instance),
-      std::chrono::steady_clock::now() + kPatience, kOneTry);
+      std::chrono::steady_clock::now() + kForwardTimeout, kAttemptTimeout);
   const auto done =
       answer.outcome == call_outcome::kDone
           ? core::DecodeBinary<peering::flag_answer>(answer.payload)
--- a/packages/controller/heartbeat_forwarder.cc
+++ b/packages/controller/heartbeat_forwarder.cc
@@ -54,7 +54,7 @@
   const net::one_shot<envelope> reply;
   queue_.push_back({std::move(input), reply});
   filled_.Notify();
-  const auto result = co_await reply.WaitUntil(clock_.Now() + kPatience);
+  const auto result = co_await reply.WaitUntil(clock_.Now() + kForwardTimeout);
   if (result) co_return *result;
   answer.outcome = call_outcome::kUnknown;
   answer.reason = "the leader did not reply in time";
@@ -90,9 +90,9 @@
   }
   batch.refreshes = ExtractRefreshes(cache_);
   refreshed_at_ = clock_.Now();
-  envelope answer = co_await caller_.Ask(peering::kHeartbeatsMethod,
-                                         core::EncodeBinary(batch),
-                                         clock_.Now() + kPatience, kOneTry);
+  envelope answer = co_await caller_.Ask(
+      peering::kHeartbeatsMethod, core::EncodeBinary(batch),
+      clock_.Now() + kForwardTimeout, kAttemptTimeout);
   auto batch_answer =
       answer.outcome == call_outcome::kDone
           ? core::DecodeBinary<heartbeat_batch_answer>(answer.payload)
--- a/packages/peering/leader_caller.cc
+++ b/packages/peering/leader_caller.cc
@@ -110,12 +110,12 @@
 
 awaitable<envelope> leader_caller::Ask(std::string method, std::string payload,
                                        time_point deadline,
-                                       milliseconds patience) {
+                                       milliseconds attempt_timeout) {
   bool is_unknown = false;
   envelope answer;
   for (;;) {
     const std::string target = NextTarget();
-    const time_point until = std::min(deadline, Now() + patience);
+    const time_point until = std::min(deadline, Now() + attempt_timeout);
     answer = co_await AttemptCall(target, method, payload, until);
     UpdateLeader(target, answer);
     const bool should_retry = answer.outcome == call_outcome::kNotLeader ||
--- a/packages/peering/leader_caller.h
+++ b/packages/peering/leader_caller.h
@@ -33,12 +33,12 @@
   const std::vector<std::string>& Controllers() const { return controllers_; }
 
   // Calls the leader until a reply other than kNotLeader, kUnavailable and
-  // kUnknown arrives, or until `deadline`. One attempt takes `patience` at
-  // most. Returns kUnknown when an attempt may have been executed and no later
-  // one got a definite reply.
+  // kUnknown arrives, or until `deadline`. One attempt takes `attempt_timeout`
+  // at most. Returns kUnknown when an attempt may have been executed and no
+  // later one got a definite reply.
   boost::asio::awaitable<envelope> Ask(std::string method, std::string payload,
                                        core::time_point deadline,
-                                       core::milliseconds patience);
+                                       core::milliseconds attempt_timeout);
 
   // Makes one attempt at one instance.
   boost::asio::awaitable<envelope> AttemptCall(const std::string& address,
--- a/packages/store/remote_runner.cc
+++ b/packages/store/remote_runner.cc
@@ -79,7 +79,7 @@
       continue;
     }
     const milliseconds wait = HasRuns() ? kBusyPollWait : kIdlePollWait;
-    const milliseconds patience = wait + kReplyTimeout;
+    const milliseconds attempt_timeout = wait + kReplyTimeout;
     orders_request input;
     input.runner = options_.address;
     input.zone = options_.zone;
@@ -88,7 +88,7 @@
     input.wait_ms = wait.count();
     const envelope reply = co_await leader_.Ask(
         peering::kTakeOrdersMethod, core::EncodeBinary(input),
-        clock_.Now() + patience, patience);
+        clock_.Now() + attempt_timeout, attempt_timeout);
     auto answer = reply.outcome == call_outcome::kDone
                       ? core::DecodeBinary<orders_answer>(reply.payload)
                       : std::optional<orders_answer>();
--- a/packages/store/task_runner.cc
+++ b/packages/store/task_runner.cc
@@ -36,7 +36,7 @@
   self->text.events = order.events;
   self->text.versions = order.versions;
   self->last_event_at = clock_.Now();
-  self->patience = kFirstEventTimeout;
+  self->event_timeout = kFirstEventTimeout;
   self->order = std::move(order);
   runs_[self->order.run] = self;
   net::SpawnCancellable(
@@ -132,7 +132,7 @@
     report.spanned = self.text.events - events_before;
   }
   self.last_event_at = now;
-  self.patience = kEventTimeout;
+  self.event_timeout = kEventTimeout;
   report.data = std::move(self.text.data);
   self.text.data.clear();
   report.versions = self.text.versions;
@@ -178,7 +178,7 @@
   std::vector<std::shared_ptr<active_run>> ending;
   for (const auto& item : runs_) {
     const active_run& active = *item.second;
-    const bool is_timed_out = now - active.last_event_at > active.patience;
+    const bool is_timed_out = now - active.last_event_at > active.event_timeout;
     if (is_timed_out && !active.is_stalled) ending.push_back(item.second);
   }
   for (const auto& active : ending) {
--- a/packages/store/task_runner.h
+++ b/packages/store/task_runner.h
@@ -50,7 +50,7 @@
     bool has_head = false;
     bool is_stalled = false;
     core::time_point last_event_at{};  // time of the last event or of the start
-    core::milliseconds patience{0};
+    core::milliseconds event_timeout{0};
     net::cancel_signal cancel = net::MakeCancelSignal();
   };
 
