--- a/packages/control/orders.cc
+++ b/packages/control/orders.cc
@@ -66,8 +66,8 @@
   return (term << kSequenceBits) | sequence;
 }
 
-void StartOrderBook(order_tracker& tracker, uint64_t term,
-                    core::time_point now) {
+void StartOrderTracker(order_tracker& tracker, uint64_t term,
+                       core::time_point now) {
   tracker = order_tracker{};
   tracker.term = term;
   tracker.refilled_at = now;
--- a/packages/control/orders.h
+++ b/packages/control/orders.h
@@ -66,8 +66,8 @@
 
 // Starts the state of a new leader without open orders: the effect of the
 // orders of earlier leaders shows in the reports.
-void StartOrderBook(order_tracker& tracker, uint64_t term,
-                    core::time_point now);
+void StartOrderTracker(order_tracker& tracker, uint64_t term,
+                       core::time_point now);
 
 // Returns the orders to send now and records them as open. The number of
 // engines that load at the same time never exceeds what the pool's floor
--- a/packages/hickoryd/order_service.cc
+++ b/packages/hickoryd/order_service.cc
@@ -36,7 +36,7 @@
   // expired may still arrive within the send timeout.
   if (now - replica.ElectedAt() < kSendTimeout) return;
   if (book_.term != replica.Term()) {
-    control::StartOrderBook(book_, replica.Term(), now);
+    control::StartOrderTracker(book_, replica.Term(), now);
   }
   if (replica.State().weights.empty()) return;
 
--- a/tests/unit/control/orders_test.cc
+++ b/tests/unit/control/orders_test.cc
@@ -23,7 +23,7 @@
 
 order_tracker MakeTracker() {
   order_tracker tracker;
-  StartOrderBook(tracker, 3, kStart);
+  StartOrderTracker(tracker, 3, kStart);
   return tracker;
 }
 
