--- a/packages/hickoryd/membership_service.cc
+++ b/packages/hickoryd/membership_service.cc
@@ -208,7 +208,7 @@
     ++instances;
     const auto found = exchange_.peers.find(peer.id);
     if (found == exchange_.peers.end()) continue;
-    const instance_view view{found->second.info, found->second.heard_at};
+    const instance_view view{found->second.info, found->second.last_contact_at};
     if (!IsAlive(view, now)) continue;
     if (view.info.holds_lease) return false;
     ++without_lease;
@@ -243,7 +243,7 @@
     list.push_back({record.latest, record.received_at, record.expires_at});
   }
   for (const auto& [id, peer] : exchange_.peers) {
-    view->instances[id] = {peer.info, peer.heard_at};
+    view->instances[id] = {peer.info, peer.last_contact_at};
   }
   context_.board.Publish(std::move(view));
 }
--- a/packages/membership/exchange.cc
+++ b/packages/membership/exchange.cc
@@ -119,7 +119,7 @@
 void UpdatePeerInfo(peer_progress& progress, const instance_info& info,
                     time_point now) {
   progress.info = info;
-  progress.heard_at = now;
+  progress.last_contact_at = now;
 }
 
 // Versions are only valid for one process: after a restart of the peer,
--- a/packages/membership/exchange.h
+++ b/packages/membership/exchange.h
@@ -73,7 +73,7 @@
 // Synchronization state with one peer.
 struct peer_progress {
   instance_info info;
-  core::time_point heard_at{};
+  core::time_point last_contact_at{};
   // Version of the peer's table that was merged here.
   uint64_t seen_version = 0;
   std::string seen_boot;
