--- a/packages/controller/control_api.cc
+++ b/packages/controller/control_api.cc
@@ -40,14 +40,14 @@
                                               std::string payload) {
   const core::time_point deadline =
       std::chrono::steady_clock::now() + kForwardTimeout;
-  const envelope answer = co_await caller_.Ask(
+  const envelope answer = co_await caller_.Call(
       std::move(method), std::move(payload), deadline, kAttemptTimeout);
   if (answer.outcome != call_outcome::kDone) co_return FailureOf(answer);
   co_return wire_.EncodeAcknowledgement("");
 }
 
 awaitable<net::response> control_api::ListQuarantine() {
-  const envelope answer = co_await caller_.Ask(
+  const envelope answer = co_await caller_.Call(
       peering::kWarningsMethod, "",
       std::chrono::steady_clock::now() + kForwardTimeout, kAttemptTimeout);
   const auto held =
@@ -108,7 +108,7 @@
   if (std::holds_alternative<fleet::get_configuration_call>(call)) {
     const core::time_point deadline =
         std::chrono::steady_clock::now() + kForwardTimeout;
-    const envelope answer = co_await caller_.Ask(
+    const envelope answer = co_await caller_.Call(
         peering::kGetConfigurationMethod, "", deadline, kAttemptTimeout);
     const auto held =
         answer.outcome == call_outcome::kDone
@@ -122,7 +122,7 @@
                                peering::EncodeName(retire->instance));
   }
   const auto& status = std::get<fleet::retirement_status_call>(call);
-  const envelope answer = co_await caller_.Ask(
+  const envelope answer = co_await caller_.Call(
       peering::kRetirementMethod, peering::EncodeName(status.instance),
       std::chrono::steady_clock::now() + kForwardTimeout, kAttemptTimeout);
   const auto done =
--- a/packages/controller/heartbeat_forwarder.cc
+++ b/packages/controller/heartbeat_forwarder.cc
@@ -90,7 +90,7 @@
   }
   batch.refreshes = ExtractRefreshes(cache_);
   refreshed_at_ = clock_.Now();
-  envelope answer = co_await caller_.Ask(
+  envelope answer = co_await caller_.Call(
       peering::kHeartbeatsMethod, core::EncodeBinary(batch),
       clock_.Now() + kForwardTimeout, kAttemptTimeout);
   auto batch_answer =
--- a/packages/controller/leader_service.cc
+++ b/packages/controller/leader_service.cc
@@ -381,7 +381,7 @@
   if (found == stores_.end()) {
     co_return envelope{call_outcome::kNotFound, "", "no such store", ""};
   }
-  envelope answer = co_await stores_caller_.Ask(
+  envelope answer = co_await stores_caller_.Call(
       std::move(method), peering::EncodeName(found->second.address),
       clock_.Now() + kRetireTimeout, kRetireTimeout);
   LogEvent(event_id::kRetirementRequested,
--- a/packages/entry/step_gateway.cc
+++ b/packages/entry/step_gateway.cc
@@ -51,7 +51,7 @@
     co_return;
   }
   const core::time_point started = clock_.Now();
-  const envelope answer = co_await caller_.Ask(
+  const envelope answer = co_await caller_.Call(
       peering::kOpenStepMethod, core::EncodeBinary(*submission),
       started + kOpenTimeout, kOpenAttemptTimeout);
   const bool is_accepted = answer.outcome == call_outcome::kDone;
@@ -93,7 +93,7 @@
   request.after = input.after;
   request.wait_ms = wait.count();
   request.page_bytes = kMaxPageBytes;
-  envelope answer = co_await caller_.Ask(
+  envelope answer = co_await caller_.Call(
       peering::kReadResultsMethod, core::EncodeBinary(request),
       clock_.Now() + wait + kReadTimeoutSlack, wait + kReadAttemptSlack);
   // A read changes no state, so its caller may retry it when the outcome is
@@ -111,7 +111,7 @@
 
 awaitable<net::response> step_gateway::ReadTask(fleet::read_task_call input) {
   const peering::read_task_request request{input.step, input.task};
-  envelope answer = co_await caller_.Ask(
+  envelope answer = co_await caller_.Call(
       peering::kReadTaskMethod, core::EncodeBinary(request),
       clock_.Now() + kReadTimeoutSlack, kReadAttemptSlack);
   if (answer.outcome == call_outcome::kUnknown) {
@@ -131,9 +131,9 @@
 
 awaitable<net::response> step_gateway::End(fleet::end_step_call input) {
   const peering::named_item request{input.step};
-  const envelope answer =
-      co_await caller_.Ask(peering::kEndStepMethod, core::EncodeBinary(request),
-                           clock_.Now() + kEndTimeout, kEndAttemptTimeout);
+  const envelope answer = co_await caller_.Call(
+      peering::kEndStepMethod, core::EncodeBinary(request),
+      clock_.Now() + kEndTimeout, kEndAttemptTimeout);
   if (answer.outcome != call_outcome::kDone) co_return FailureOf(answer);
   co_return wire_.EncodeAcknowledgement("");
 }
--- a/packages/peering/leader_caller.cc
+++ b/packages/peering/leader_caller.cc
@@ -108,9 +108,9 @@
   co_return answer;
 }
 
-awaitable<envelope> leader_caller::Ask(std::string method, std::string payload,
-                                       time_point deadline,
-                                       milliseconds attempt_timeout) {
+awaitable<envelope> leader_caller::Call(std::string method, std::string payload,
+                                        time_point deadline,
+                                        milliseconds attempt_timeout) {
   bool is_unknown = false;
   envelope answer;
   for (;;) {
@@ -137,7 +137,7 @@
 
 awaitable<bool> SendCrashUpdate(leader_caller& caller,
                                 fleet::crash_update update) {
-  const envelope answer = co_await caller.Ask(
+  const envelope answer = co_await caller.Call(
       kCrashUpdateMethod, core::EncodeBinary(update),
       std::chrono::steady_clock::now() + kCrashUpdateTimeout,
       kCrashUpdateAttemptTimeout);
--- a/packages/peering/leader_caller.h
+++ b/packages/peering/leader_caller.h
@@ -36,9 +36,9 @@
   // kUnknown arrives, or until `deadline`. One attempt takes `attempt_timeout`
   // at most. Returns kUnknown when an attempt may have been executed and no
   // later one got a definite reply.
-  boost::asio::awaitable<envelope> Ask(std::string method, std::string payload,
-                                       core::time_point deadline,
-                                       core::milliseconds attempt_timeout);
+  boost::asio::awaitable<envelope> Call(std::string method, std::string payload,
+                                        core::time_point deadline,
+                                        core::milliseconds attempt_timeout);
 
   // Makes one attempt at one instance.
   boost::asio::awaitable<envelope> AttemptCall(const std::string& address,
--- a/packages/peering/view_follower.cc
+++ b/packages/peering/view_follower.cc
@@ -46,8 +46,8 @@
     if (demands_) input.demands = demands_();
     const core::milliseconds attempt_timeout = options_.wait + options_.slack;
     const envelope answer =
-        co_await caller_.Ask(kViewMethod, core::EncodeBinary(input),
-                             Now() + attempt_timeout, attempt_timeout);
+        co_await caller_.Call(kViewMethod, core::EncodeBinary(input),
+                              Now() + attempt_timeout, attempt_timeout);
     const bool is_answered = answer.outcome == call_outcome::kDone;
     if (is_answered != is_following_) {
       is_following_ = is_answered;
--- a/packages/store/remote_runner.cc
+++ b/packages/store/remote_runner.cc
@@ -86,7 +86,7 @@
     input.session = session_;
     input.received = last_answer_number_;
     input.wait_ms = wait.count();
-    const envelope reply = co_await leader_.Ask(
+    const envelope reply = co_await leader_.Call(
         peering::kTakeOrdersMethod, core::EncodeBinary(input),
         clock_.Now() + attempt_timeout, attempt_timeout);
     auto answer = reply.outcome == call_outcome::kDone
@@ -174,8 +174,8 @@
     const std::string payload = core::EncodeBinary(input);
     for (int i = 0; i < kMaxReportAttempts && input.session == session_; ++i) {
       const envelope reply =
-          co_await leader_.Ask(peering::kReportRunsMethod, payload,
-                               clock_.Now() + kReplyTimeout, kReplyTimeout);
+          co_await leader_.Call(peering::kReportRunsMethod, payload,
+                                clock_.Now() + kReplyTimeout, kReplyTimeout);
       if (reply.outcome == call_outcome::kDone) break;
       // The leader has removed this session and given its tasks to others, or
       // it is assumed to have done so.
