--- a/packages/controller/controller.cc
+++ b/packages/controller/controller.cc
@@ -115,7 +115,7 @@
     service.on_endpoints = [this] { keeper.Wake(); };
     keeper.on_change = [this] { service.OnWeightsChanged(); };
     follower.OnChange([this] {
-      stores_caller.SetControllers(peering::StoreAddresses(follower.View()));
+      stores_caller.SetInstances(peering::StoreAddresses(follower.View()));
       group.SetContacts(Contacts());
     });
     group.SetContacts(settings.seeds);
--- a/packages/entry/entry_instance.cc
+++ b/packages/entry/entry_instance.cc
@@ -64,7 +64,7 @@
     follower.OnChange([this] {
       plain.OnEndpoints();
       crashes.OnView();
-      stores_caller.SetControllers(peering::StoreAddresses(follower.View()));
+      stores_caller.SetInstances(peering::StoreAddresses(follower.View()));
     });
   }
 
--- a/packages/peering/leader_caller.cc
+++ b/packages/peering/leader_caller.cc
@@ -43,7 +43,7 @@
   seeds_ = std::move(seeds);
 }
 
-void leader_caller::SetControllers(std::vector<std::string> controllers) {
+void leader_caller::SetInstances(std::vector<std::string> controllers) {
   controllers_ = std::move(controllers);
 }
 
--- a/packages/peering/leader_caller.h
+++ b/packages/peering/leader_caller.h
@@ -29,7 +29,7 @@
 
   // Replaces the seeds. The instances from the views are kept.
   void SetSeeds(std::vector<std::string> seeds);
-  void SetControllers(std::vector<std::string> controllers);
+  void SetInstances(std::vector<std::string> controllers);
   const std::vector<std::string>& Controllers() const { return controllers_; }
 
   // Calls the leader until a reply other than kNotLeader, kUnavailable and
--- a/packages/peering/view_follower.cc
+++ b/packages/peering/view_follower.cc
@@ -74,7 +74,7 @@
   const uint64_t config_before = view_.config.version;
   if (!fleet::ApplyUpdate(view_, *update)) return;
   if (update->has_members) {
-    caller_.SetControllers(view_.members.controllers);
+    caller_.SetInstances(view_.members.controllers);
   }
   if (view_.config.version != config_before) {
     LogEvent(event_id::kConfigurationInForce,
--- a/packages/store/store_instance.cc
+++ b/packages/store/store_instance.cc
@@ -101,7 +101,7 @@
   void OnView() {
     const fleet::view& view = follower.View();
     group.SetContacts(peering::StoreAddresses(view));
-    leader.SetControllers(peering::StoreAddresses(view));
+    leader.SetInstances(peering::StoreAddresses(view));
     const bool is_founder = settings.is_first_start &&
                             view.members.data_founder == settings.peers_address;
     if (is_founder) group.Bootstrap();
