--- a/packages/peering/view_follower.h
+++ b/packages/peering/view_follower.h
@@ -41,7 +41,8 @@
   // Sets whether the weights of the engines are requested.
   void WantWeights(bool wants) { wants_weights_ = wants; }
   // Sets the source of the demands that this process reports with each request.
-  void TellDemands(std::function<std::vector<fleet::model_demand>()> demands) {
+  void SetDemandSource(
+      std::function<std::vector<fleet::model_demand>()> demands) {
     demands_ = std::move(demands);
   }
   // Called after each change.
--- a/packages/store/store_instance.cc
+++ b/packages/store/store_instance.cc
@@ -94,7 +94,7 @@
     // Followers request the weights too, because a new leader needs the weights
     // of all engines at once.
     follower.WantWeights(true);
-    follower.TellDemands([this] { return dispatch.Demands(); });
+    follower.SetDemandSource([this] { return dispatch.Demands(); });
     follower.OnChange([this] { OnView(); });
   }
 
