--- a/packages/consensus/raft.h
+++ b/packages/consensus/raft.h
@@ -51,7 +51,7 @@
   // Minimum number of voters after one is removed without a replacement: twice
   // the number of failures to tolerate, plus one. Each accepted entry is stored
   // on more than half of the voters.
-  size_t fewest_voters = 3;
+  size_t min_voters = 3;
   // A voter that has not replied for this time may be replaced by an instance
   // that asks to join. The new instance should be a voter before the next
   // failure.
--- a/packages/consensus/raft_leader.cc
+++ b/packages/consensus/raft_leader.cc
@@ -220,7 +220,7 @@
   const size_t voters = members.voters.size();
   const size_t wanted = state.options.wanted_voters;
   if (wanted != 0 && voters > wanted) return true;
-  if (voters <= state.options.fewest_voters) return false;
+  if (voters <= state.options.min_voters) return false;
   return voters % 2 == 0 || MissingVoters(state, now).size() >= 2;
 }
 
--- a/packages/group/group_host.cc
+++ b/packages/group/group_host.cc
@@ -57,7 +57,7 @@
   settings.raft.leader_lease = node.leader_lease;
   settings.raft.reply_timeout = node.leader_lease;
   settings.raft.wanted_voters = wanted_voters;
-  settings.raft.fewest_voters =
+  settings.raft.min_voters =
       std::max(settings.spread_voters, node.DataVoters());
   return settings;
 }
