--- a/packages/hickoryd/call_quarantine.cc
+++ b/packages/hickoryd/call_quarantine.cc
@@ -101,10 +101,10 @@
     return found;
   }
   const size_t crash_count = CrashesOf(found.digest).size();
-  if (crash_count >= ledger_.options.most_ends) {
+  if (crash_count >= ledger_.options.max_crashes) {
     found.state = quarantine::quarantine_state::kQuarantined;
     found.left = kConfirmationTime;
-  } else if (crash_count + 1 >= ledger_.options.most_ends) {
+  } else if (crash_count + 1 >= ledger_.options.max_crashes) {
     found.state = quarantine::quarantine_state::kSuspected;
   }
   return found;
--- a/packages/quarantine/crash_ledger.cc
+++ b/packages/quarantine/crash_ledger.cc
@@ -162,7 +162,7 @@
     if (!other_request.is_quarantined) continue;
     const size_t remaining =
         CountUnexplainedCrashes(ledger, other, other_request);
-    if (remaining >= ledger.options.most_ends) continue;
+    if (remaining >= ledger.options.max_crashes) continue;
     other_request.is_quarantined = false;
     other_request.changed_at = now;
     changes.push_back({other, false, release_reason::kExplained});
@@ -207,7 +207,7 @@
   const bool must_quarantine =
       !item.is_quarantined &&
       CountUnexplainedCrashes(ledger, report.digest, item) >=
-          ledger.options.most_ends;
+          ledger.options.max_crashes;
   if (must_quarantine) {
     Quarantine(ledger, item, now);
     ShortenIfAmbiguous(ledger, report.digest, item, now);
@@ -264,7 +264,7 @@
   }
   const bool stays_quarantined =
       CountUnexplainedCrashes(ledger, input.digest, item) >=
-      ledger.options.most_ends;
+      ledger.options.max_crashes;
   if (!item.is_quarantined || stays_quarantined) return {};
   item.is_quarantined = false;
   return {{input.digest, false, release_reason::kCleared}};
--- a/packages/quarantine/crash_ledger.h
+++ b/packages/quarantine/crash_ledger.h
@@ -29,7 +29,7 @@
   // Crashes under a request from which on it is quarantined. With one or two,
   // the loss of a rack would quarantine innocent requests: they are sent again
   // and run into the next crash of the same rack.
-  size_t most_ends = 3;
+  size_t max_crashes = 3;
   // Duration of a first quarantine. Long enough that a client that retries all
   // day crashes few endpoints, and short enough that requests are served soon
   // after the endpoint is fixed, without an operator.
