--- a/packages/controller/leader_service.cc
+++ b/packages/controller/leader_service.cc
@@ -403,7 +403,7 @@
     OnQuarantineChanges(quarantine::RecordCrash(crashes_, report, now));
   }
   for (const fleet::cleared_crashes& item : input->forgiven) {
-    OnQuarantineChanges(quarantine::Forgive(crashes_, item, now));
+    OnQuarantineChanges(quarantine::ClearCrashes(crashes_, item, now));
   }
   for (const std::string& digest : input->served) {
     OnQuarantineChanges(quarantine::Release(
--- a/packages/hickoryd/call_quarantine.cc
+++ b/packages/hickoryd/call_quarantine.cc
@@ -334,7 +334,7 @@
     const fleet::cleared_crashes forgiven{item.digest, item.customer,
                                           item.forgiven};
     quarantine::LogChanges(ledger_,
-                           quarantine::Forgive(ledger_, forgiven, now));
+                           quarantine::ClearCrashes(ledger_, forgiven, now));
     for (const std::string& crash : item.ends) {
       const fleet::crash_report report{item.digest, item.customer, crash};
       quarantine::LogChanges(ledger_,
--- a/packages/quarantine/crash_ledger.cc
+++ b/packages/quarantine/crash_ledger.cc
@@ -252,9 +252,9 @@
 
 }  // namespace
 
-std::vector<quarantine_change> Forgive(crash_ledger& ledger,
-                                       const fleet::cleared_crashes& input,
-                                       time_point now) {
+std::vector<quarantine_change> ClearCrashes(crash_ledger& ledger,
+                                            const fleet::cleared_crashes& input,
+                                            time_point now) {
   if (ledger.suspects.count(input.digest) == 0) EvictIfFull(ledger);
   suspect& item = ledger.suspects[input.digest];
   item.customer = input.customer;
--- a/packages/quarantine/crash_ledger.h
+++ b/packages/quarantine/crash_ledger.h
@@ -107,9 +107,9 @@
                                        core::time_point now);
 
 // Clears the listed crashes of a request.
-std::vector<quarantine_change> Forgive(crash_ledger& ledger,
-                                       const fleet::cleared_crashes& input,
-                                       core::time_point now);
+std::vector<quarantine_change> ClearCrashes(crash_ledger& ledger,
+                                            const fleet::cleared_crashes& input,
+                                            core::time_point now);
 
 // Ends quarantines whose time is up and removes requests with old crashes. A
 // request whose quarantine expired stays suspected: one more crash begins the
