--- a/packages/controller/leader_service.cc
+++ b/packages/controller/leader_service.cc
@@ -153,7 +153,7 @@
   // this leader.
   crashes_ = {};
   for (const fleet::request_warning& item : followed.warnings) {
-    quarantine::Adopt(crashes_, item, clock_.Now());
+    quarantine::MergeWarning(crashes_, item, clock_.Now());
   }
   // An instance that has followed no leader since it started has no records of
   // quarantines.
--- a/packages/quarantine/crash_detector.cc
+++ b/packages/quarantine/crash_detector.cc
@@ -262,7 +262,7 @@
   for (const fleet::request_warning& item : last_warnings_) {
     while (old != previous_warnings.end() && old->digest < item.digest) ++old;
     const bool is_same = old != previous_warnings.end() && *old == item;
-    if (!is_same) Adopt(ledger_, item, now);
+    if (!is_same) MergeWarning(ledger_, item, now);
   }
   // A new leader may not have received the reports that its predecessor had, so
   // a missing warning does not clear the request.
--- a/packages/quarantine/crash_ledger.cc
+++ b/packages/quarantine/crash_ledger.cc
@@ -336,8 +336,8 @@
   return list;
 }
 
-void Adopt(crash_ledger& ledger, const fleet::request_warning& warning,
-           time_point now) {
+void MergeWarning(crash_ledger& ledger, const fleet::request_warning& warning,
+                  time_point now) {
   if (ledger.suspects.count(warning.digest) == 0) EvictIfFull(ledger);
   suspect& item = ledger.suspects[warning.digest];
   for (const std::string& incarnation : warning.forgiven) {
--- a/packages/quarantine/crash_ledger.h
+++ b/packages/quarantine/crash_ledger.h
@@ -137,8 +137,8 @@
 // counted from now. A warning without a quarantine ends the quarantine of this
 // ledger only if it lists all crashes that this ledger has: a new leader may
 // have received some reports and not others.
-void Adopt(crash_ledger& ledger, const fleet::request_warning& warning,
-           core::time_point now);
+void MergeWarning(crash_ledger& ledger, const fleet::request_warning& warning,
+                  core::time_point now);
 
 }  // namespace hickorywood::quarantine
 
--- a/tests/unit/quarantine/crash_ledger_test.cc
+++ b/tests/unit/quarantine/crash_ledger_test.cc
@@ -61,7 +61,8 @@
     RecordCrashes("cause", {"a", "b", "c"});
     Release(ledger_, "cause", reason, now_);
     crash_ledger next;
-    for (const auto& item : ListWarnings(ledger_)) Adopt(next, item, now_);
+    for (const auto& item : ListWarnings(ledger_))
+      MergeWarning(next, item, now_);
     for (const char* end : {"a", "b", "c"}) {
       RecordCrash(next, {"cause", "customer", end}, now_);
     }
@@ -75,7 +76,8 @@
   RecordCrashes("cause", {"a", "b", "c"});
   crash_ledger other = ledger_;
   Release(ledger_, "cause", release_reason::kOperator, now_);
-  for (const auto& item : ListWarnings(ledger_)) Adopt(other, item, now_);
+  for (const auto& item : ListWarnings(ledger_))
+    MergeWarning(other, item, now_);
   EXPECT_EQ(QuarantineStateOf(other, "cause", now_), quarantine_state::kClear);
   // Later crashes count.
   for (const char* end : {"d", "e", "f"}) {
@@ -173,7 +175,7 @@
   RecordCrashes("suspect", {"x", "y"});
   crash_ledger next_leader;
   for (const fleet::request_warning& item : ListWarnings(ledger_)) {
-    Adopt(next_leader, item, now_);
+    MergeWarning(next_leader, item, now_);
   }
   EXPECT_EQ(QuarantineStateOf(next_leader, "cause", now_),
             quarantine_state::kQuarantined);
@@ -189,9 +191,9 @@
 // instance has more crashes.
 TEST_F(CrashLedgerTest, LeaderWithFewerCrashesReleasesNothing) {
   RecordCrashes("cause", {"a", "b", "c"});
-  Adopt(ledger_, {"cause", "customer", {"a", "b"}}, now_);
+  MergeWarning(ledger_, {"cause", "customer", {"a", "b"}}, now_);
   EXPECT_TRUE(IsQuarantined("cause"));
-  Adopt(ledger_, {"cause", "customer", {"a", "b", "c"}}, now_);
+  MergeWarning(ledger_, {"cause", "customer", {"a", "b", "c"}}, now_);
   EXPECT_FALSE(IsQuarantined("cause"));
 }
 
