--- a/bench/bench_quarantine.cc
+++ b/bench/bench_quarantine.cc
@@ -40,7 +40,7 @@
   auto start = std::chrono::steady_clock::now();
   size_t bytes = 0;
   for (int i = 0; i < kCount; ++i) {
-    bytes += quarantine::DigestHeadOf(kKey, input).size();
+    bytes += quarantine::DigestPrefixOf(kKey, input).size();
   }
   out.Add("quarantine_head", MicrosEach(start, kCount), "us a request");
   start = std::chrono::steady_clock::now();
--- a/packages/quarantine/quarantine_decision.cc
+++ b/packages/quarantine/quarantine_decision.cc
@@ -5,7 +5,7 @@
 bool MayMatchSuspect(const crash_ledger& ledger, std::string_view key,
                      const request_identity& input) {
   if (ledger.suspects.empty()) return false;
-  return HasDigestPrefix(ledger, DigestHeadOf(key, input));
+  return HasDigestPrefix(ledger, DigestPrefixOf(key, input));
 }
 
 quarantine_decision Check(const crash_ledger& ledger, std::string_view key,
--- a/packages/quarantine/request_digest.cc
+++ b/packages/quarantine/request_digest.cc
@@ -71,14 +71,15 @@
           input.body};
 }
 
-std::string DigestHeadOf(std::string_view key, const request_identity& input) {
+std::string DigestPrefixOf(std::string_view key,
+                           const request_identity& input) {
   return FinishMac(StartDigest(key, input), kPrefixBytes);
 }
 
 std::string DigestOf(std::string_view key, const request_identity& input) {
   const mac_state state = StartDigest(key, input);
   AddField(state, input.body);
-  return DigestHeadOf(key, input) + FinishMac(state, kDigestBytes);
+  return DigestPrefixOf(key, input) + FinishMac(state, kDigestBytes);
 }
 
 }  // namespace hickorywood::quarantine
--- a/packages/quarantine/request_digest.h
+++ b/packages/quarantine/request_digest.h
@@ -30,7 +30,7 @@
 
 // Prefix of a digest, 16 hex digits. It covers the size of the body, but not
 // its content, and distinguishes most requests without reading their bodies.
-std::string DigestHeadOf(std::string_view key, const request_identity& input);
+std::string DigestPrefixOf(std::string_view key, const request_identity& input);
 
 // 48 hex digits: the prefix, and 128 bits that cover the body as well.
 std::string DigestOf(std::string_view key, const request_identity& input);
--- a/tests/unit/quarantine/request_digest_test.cc
+++ b/tests/unit/quarantine/request_digest_test.cc
@@ -60,7 +60,7 @@
   const net::request input = MakeRequest("id");
   net::request same_size = MakeRequest("id");
   same_size.body = "clap";
-  const std::string prefix = DigestHeadOf(kKey, IdentityOf(input));
+  const std::string prefix = DigestPrefixOf(kKey, IdentityOf(input));
   EXPECT_TRUE(Digest(input).starts_with(prefix));
   EXPECT_TRUE(Digest(same_size).starts_with(prefix));
   net::request longer = MakeRequest("id");
