--- a/packages/controller/leader_service.cc
+++ b/packages/controller/leader_service.cc
@@ -391,7 +391,7 @@
 
 void leader_service::OnQuarantineChanges(
     const std::vector<quarantine::quarantine_change>& changes) {
-  quarantine::LogChanges(crashes_, changes);
+  quarantine::LogQuarantineChanges(crashes_, changes);
   views_.OnWarningsChanged();
 }
 
--- a/packages/hickoryd/call_quarantine.cc
+++ b/packages/hickoryd/call_quarantine.cc
@@ -254,8 +254,9 @@
              {{"digest", report.digest},
               {"customer", report.customer},
               {"endpoint", incarnation}});
-    quarantine::LogChanges(ledger_, quarantine::RecordCrash(
-                                        ledger_, report, context_.clock.Now()));
+    quarantine::LogQuarantineChanges(
+        ledger_,
+        quarantine::RecordCrash(ledger_, report, context_.clock.Now()));
   }
   QueueForAll(news);
 }
@@ -275,15 +276,15 @@
 
 void call_quarantine::ApplyServed(const std::string& digest) {
   unconfirmed_.erase(digest);
-  quarantine::LogChanges(
+  quarantine::LogQuarantineChanges(
       ledger_,
       quarantine::Release(ledger_, digest, quarantine::release_reason::kServed,
                           context_.clock.Now()));
 }
 
 void call_quarantine::Expire() {
-  quarantine::LogChanges(ledger_,
-                         quarantine::Expire(ledger_, context_.clock.Now()));
+  quarantine::LogQuarantineChanges(
+      ledger_, quarantine::Expire(ledger_, context_.clock.Now()));
 }
 
 // Each instance reports only the crashes that it detected itself. It passes
@@ -333,12 +334,12 @@
   for (const fleet::request_warning& item : list->warnings) {
     const fleet::cleared_crashes forgiven{item.digest, item.customer,
                                           item.forgiven};
-    quarantine::LogChanges(ledger_,
-                           quarantine::ClearCrashes(ledger_, forgiven, now));
+    quarantine::LogQuarantineChanges(
+        ledger_, quarantine::ClearCrashes(ledger_, forgiven, now));
     for (const std::string& crash : item.ends) {
       const fleet::crash_report report{item.digest, item.customer, crash};
-      quarantine::LogChanges(ledger_,
-                             quarantine::RecordCrash(ledger_, report, now));
+      quarantine::LogQuarantineChanges(
+          ledger_, quarantine::RecordCrash(ledger_, report, now));
     }
   }
   SendUpdate(peer);
@@ -347,8 +348,8 @@
 quarantine_list call_quarantine::ApplyUpdate(const quarantine_update& input) {
   const core::time_point now = context_.clock.Now();
   for (const fleet::crash_report& report : input.seen.reports) {
-    quarantine::LogChanges(ledger_,
-                           quarantine::RecordCrash(ledger_, report, now));
+    quarantine::LogQuarantineChanges(
+        ledger_, quarantine::RecordCrash(ledger_, report, now));
   }
   for (const fleet::crash_report& report : input.doubts) AddUnconfirmed(report);
   for (const std::string& digest : input.seen.served) ApplyServed(digest);
--- a/packages/quarantine/quarantine_log.cc
+++ b/packages/quarantine/quarantine_log.cc
@@ -11,8 +11,8 @@
 using core::event_id;
 using core::LogEvent;
 
-void LogChanges(const crash_ledger& ledger,
-                const std::vector<quarantine_change>& changes) {
+void LogQuarantineChanges(const crash_ledger& ledger,
+                          const std::vector<quarantine_change>& changes) {
   for (const quarantine_change& item : changes) {
     if (!item.is_quarantined) {
       LogEvent(event_id::kQuarantineLifted,
--- a/packages/quarantine/quarantine_log.h
+++ b/packages/quarantine/quarantine_log.h
@@ -8,8 +8,8 @@
 namespace hickorywood::quarantine {
 
 // Logs an event for each quarantine in `ledger` that began or ended.
-void LogChanges(const crash_ledger& ledger,
-                const std::vector<quarantine_change>& changes);
+void LogQuarantineChanges(const crash_ledger& ledger,
+                          const std::vector<quarantine_change>& changes);
 
 }  // namespace hickorywood::quarantine
 
