--- a/packages/entry/relay.cc
+++ b/packages/entry/relay.cc
@@ -200,7 +200,7 @@
                                          {"digest", found.digest},
                                          {"reason", reason}});
     co_await call.Reply(
-        wire_.EncodeFailure(kTooManyRequests, reason, found.left));
+        wire_.EncodeFailure(kTooManyRequests, reason, found.remaining));
     co_return;
   }
   for (int attempt = 0; attempt <= routing::kMaxRefusals; ++attempt) {
--- a/packages/hickoryd/call_quarantine.cc
+++ b/packages/hickoryd/call_quarantine.cc
@@ -103,7 +103,7 @@
   const size_t crash_count = CrashesOf(found.digest).size();
   if (crash_count >= ledger_.options.max_crashes) {
     found.state = quarantine::quarantine_state::kQuarantined;
-    found.left = kConfirmationTime;
+    found.remaining = kConfirmationTime;
   } else if (crash_count + 1 >= ledger_.options.max_crashes) {
     found.state = quarantine::quarantine_state::kSuspected;
   }
--- a/packages/hickoryd/call_service.cc
+++ b/packages/hickoryd/call_service.cc
@@ -223,7 +223,7 @@
   const quarantine::quarantine_decision verdict =
       quarantine_.Check(IdentityOf(call->call));
   if (verdict.state == quarantine::quarantine_state::kQuarantined) {
-    FailAsQuarantined(call, verdict.left);
+    FailAsQuarantined(call, verdict.remaining);
     return;
   }
   const std::optional<membership::announcement> chosen = Choose(call);
--- a/packages/hickoryd/generation_attempt.cc
+++ b/packages/hickoryd/generation_attempt.cc
@@ -211,7 +211,7 @@
   }
   item.was_quarantined = true;
   Fail(item, "engines crashed while running this request; it is held back",
-       verdict.left);
+       verdict.remaining);
   return true;
 }
 
--- a/packages/quarantine/quarantine_decision.cc
+++ b/packages/quarantine/quarantine_decision.cc
@@ -21,7 +21,7 @@
   decision.digest = digest;
   decision.state = QuarantineStateOf(ledger, digest, now);
   if (decision.state == quarantine_state::kQuarantined) {
-    decision.left = std::chrono::ceil<core::milliseconds>(
+    decision.remaining = std::chrono::ceil<core::milliseconds>(
         ledger.suspects.at(digest).quarantined_until - now);
   }
   return decision;
--- a/packages/quarantine/quarantine_decision.h
+++ b/packages/quarantine/quarantine_decision.h
@@ -18,7 +18,7 @@
   quarantine_state state = quarantine_state::kClear;
   // Empty: the request is not in the ledger, so its digest was not computed.
   std::string digest;
-  core::milliseconds left{0};  // until the quarantine ends
+  core::milliseconds remaining{0};  // until the quarantine ends
 };
 
 // Whether the request can be one of those in the ledger, by the prefix of its
--- a/packages/routing/request_sender.cc
+++ b/packages/routing/request_sender.cc
@@ -134,13 +134,13 @@
   if (found.state != quarantine::quarantine_state::kQuarantined) {
     return true;
   }
-  state.quarantined_for = found.left;
+  state.quarantined_for = found.remaining;
   state.problem = "endpoints crash while running this request; it is held back";
   LogEvent(event_id::kRequestRefused,
            {{"request", state.terms.id},
             {"digest", found.digest},
             {"reason", state.problem},
-            {"ms", std::to_string(found.left.count())}});
+            {"ms", std::to_string(found.remaining.count())}});
   return false;
 }
 
