--- a/packages/steps/event_text.cc
+++ b/packages/steps/event_text.cc
@@ -64,7 +64,7 @@
   uint64_t id = 0;
   const bool is_next = id_text != nullptr && data != nullptr &&
                        absl::SimpleAtoi(*id_text, &id) && id == text.events + 1;
-  if (!is_next) return event_check::kSpoiled;
+  if (!is_next) return event_check::kMalformed;
   if (run_version) {
     if (*run_version < rules.minimum_version) return event_check::kTooOld;
     if (!MayContinue(text, rules, run_version)) return event_check::kMixed;
@@ -74,7 +74,7 @@
   }
   text.events = id;
   text.data.push_back(*data);
-  return event_check::kTaken;
+  return event_check::kAccepted;
 }
 
 std::string JoinText(const generated_text& text) {
--- a/packages/steps/event_text.h
+++ b/packages/steps/event_text.h
@@ -39,10 +39,10 @@
     const std::string& field, const std::string& value)>;
 
 enum class event_check {
-  kTaken,
-  kSpoiled,  // not the next event, or malformed
-  kTooOld,   // generated under a version below the minimum
-  kMixed,    // a second version where only one is allowed
+  kAccepted,
+  kMalformed,  // not the next event, or malformed
+  kTooOld,     // generated under a version below the minimum
+  kMixed,      // a second version where only one is allowed
 };
 
 struct text_rules {
--- a/packages/store/task_runner.cc
+++ b/packages/store/task_runner.cc
@@ -112,11 +112,11 @@
   while (const auto fields = steps::ExtractEvent(buffer)) {
     const steps::event_check verdict =
         steps::AddEvent(self.text, *fields, self.rules, read, version);
-    if (verdict == steps::event_check::kSpoiled) {
+    if (verdict == steps::event_check::kMalformed) {
       event_failure = run_outcome::kBroken;
       break;
     }
-    if (verdict != steps::event_check::kTaken) {
+    if (verdict != steps::event_check::kAccepted) {
       event_failure = run_outcome::kUnusable;
       break;
     }
--- a/tests/unit/steps/steps_test.cc
+++ b/tests/unit/steps/steps_test.cc
@@ -209,12 +209,12 @@
 TEST(EventTextTest, OnlyTheNextEventIsAccepted) {
   generated_text text;
   std::optional<uint64_t> version = 3;
-  EXPECT_EQ(Add(text, "id: 1\ndata: a", {}, version), event_check::kTaken);
-  EXPECT_EQ(Add(text, "id: 3\ndata: c", {}, version), event_check::kSpoiled);
-  EXPECT_EQ(Add(text, "id: 1\ndata: a", {}, version), event_check::kSpoiled);
-  EXPECT_EQ(Add(text, "id: 2", {}, version), event_check::kSpoiled);
-  EXPECT_EQ(Add(text, "id: x\ndata: b", {}, version), event_check::kSpoiled);
-  EXPECT_EQ(Add(text, "id: 2\ndata: b", {}, version), event_check::kTaken);
+  EXPECT_EQ(Add(text, "id: 1\ndata: a", {}, version), event_check::kAccepted);
+  EXPECT_EQ(Add(text, "id: 3\ndata: c", {}, version), event_check::kMalformed);
+  EXPECT_EQ(Add(text, "id: 1\ndata: a", {}, version), event_check::kMalformed);
+  EXPECT_EQ(Add(text, "id: 2", {}, version), event_check::kMalformed);
+  EXPECT_EQ(Add(text, "id: x\ndata: b", {}, version), event_check::kMalformed);
+  EXPECT_EQ(Add(text, "id: 2\ndata: b", {}, version), event_check::kAccepted);
   EXPECT_EQ(JoinText(text), "a\nb");
   EXPECT_EQ(text.versions, std::vector<uint64_t>({3}));
 }
@@ -226,7 +226,7 @@
   std::optional<uint64_t> version = 3;
   Add(text, "id: 1\ndata: a", {}, version);
   EXPECT_EQ(Add(text, "version: 4\nid: 2\ndata: b", {}, version),
-            event_check::kTaken);
+            event_check::kAccepted);
   EXPECT_EQ(text.versions, std::vector<uint64_t>({3, 4}));
   generated_text single;
   text_rules rules;
