--- a/packages/steps/pacing.cc
+++ b/packages/steps/pacing.cc
@@ -20,8 +20,8 @@
 
 }  // namespace
 
-int64_t PlacesForShortTasks(const waiting_work& work, size_t engines,
-                            int64_t slots) {
+int64_t MaxStreamsForShortTasks(const waiting_work& work, size_t engines,
+                                int64_t slots) {
   const task_time remaining = kStartShare * work.due - work.age;
   const bool has_estimate = work.runs > task_time(0) && engines > 0;
   if (!has_estimate || remaining < kMinStartTime) return slots;
--- a/packages/steps/pacing.h
+++ b/packages/steps/pacing.h
@@ -29,8 +29,8 @@
 // number that lets all of them start in time, in addition to the streams that
 // run there anyway. Returns `slots` if the work does not fit or an estimate is
 // missing.
-int64_t PlacesForShortTasks(const waiting_work& work, size_t engines,
-                            int64_t slots);
+int64_t MaxStreamsForShortTasks(const waiting_work& work, size_t engines,
+                                int64_t slots);
 
 // Whether a task is long for its step, so that it is started at once.
 bool IsLong(int64_t expected, int64_t longest);
--- a/packages/steps/task_choice.cc
+++ b/packages/steps/task_choice.cc
@@ -44,7 +44,7 @@
   return best;
 }
 
-std::vector<double> Slowness(const std::vector<double>& gaps_ms) {
+std::vector<double> RelativeSlowness(const std::vector<double>& gaps_ms) {
   std::vector<double> known_gaps;
   for (const double gap : gaps_ms) {
     if (gap > 0) known_gaps.push_back(gap);
@@ -60,8 +60,8 @@
   return slowness;
 }
 
-bool IsWorthMoving(const engine_load& from,
-                   const std::vector<engine_load>& engines) {
+bool IsMoveWorthwhile(const engine_load& from,
+                      const std::vector<engine_load>& engines) {
   if (from.slowness < kMinSlowFactor) return false;
   return std::any_of(engines.begin(), engines.end(),
                      [](const engine_load& other) {
--- a/packages/steps/task_choice.h
+++ b/packages/steps/task_choice.h
@@ -36,13 +36,13 @@
 // How much slower each engine generates events than its peers: its time between
 // events divided by that of a fast engine, the lower quartile of all
 // measured ones. A value of 0 in `gaps_ms` is unknown and results in 1.
-std::vector<double> Slowness(const std::vector<double>& gaps_ms);
+std::vector<double> RelativeSlowness(const std::vector<double>& gaps_ms);
 
 // Whether moving a run pays off: its engine is clearly slower than another
 // engine with a free slot. Reading the text again there costs a few ms, and
 // each event of a slow engine some hundred.
-bool IsWorthMoving(const engine_load& from,
-                   const std::vector<engine_load>& engines);
+bool IsMoveWorthwhile(const engine_load& from,
+                      const std::vector<engine_load>& engines);
 
 // The order in which the tasks of a step start, as indices, by the expected
 // length of each (0: unknown). A trainer waits for nearly all groups, and most
--- a/packages/store/dispatcher.cc
+++ b/packages/store/dispatcher.cc
@@ -386,7 +386,7 @@
   work.runs = steps::ExpectedTime(pace->second, tokens);
   work.age = clock_.Now() - step.opened_at;
   work.due = milliseconds(item.terms->due_ms);
-  return steps::PlacesForShortTasks(work, engines, slots);
+  return steps::MaxStreamsForShortTasks(work, engines, slots);
 }
 
 dispatcher::engine_pool dispatcher::CollectEngines(const std::string& service,
@@ -416,7 +416,7 @@
     pool.records.push_back(&record);
     pool.endpoints.push_back(&item);
   }
-  const std::vector<double> slowness = steps::Slowness(gaps);
+  const std::vector<double> slowness = steps::RelativeSlowness(gaps);
   for (size_t i = 0; i < slowness.size(); ++i) {
     pool.loads[i].slowness = slowness[i];
   }
--- a/packages/store/dispatcher_results.cc
+++ b/packages/store/dispatcher_results.cc
@@ -237,7 +237,7 @@
                                     return load.incarnation == incarnation;
                                   });
     if (own == loads.end()) continue;
-    if (steps::IsWorthMoving(*own, loads)) moving.push_back(item);
+    if (steps::IsMoveWorthwhile(*own, loads)) moving.push_back(item);
   }
   for (const auto& item : moving) {
     if (tracked_task* const task = FindTask(item->key)) {
--- a/tests/unit/steps/pacing_test.cc
+++ b/tests/unit/steps/pacing_test.cc
@@ -27,7 +27,7 @@
 // half would only slow the long texts down.
 TEST(PacingTest, LimitIsNoHigherThanNeeded) {
   const int64_t max_streams =
-      PlacesForShortTasks(MakeWork(54, 0), kEngines, kSlots);
+      MaxStreamsForShortTasks(MakeWork(54, 0), kEngines, kSlots);
   EXPECT_GE(max_streams, 3);
   EXPECT_LE(max_streams, kSlots / 2);
 }
@@ -36,24 +36,27 @@
 // short tasks would start only when their time is up.
 TEST(PacingTest, OtherStreamsRaiseTheLimit) {
   waiting_work work = MakeWork(18, 0);
-  const int64_t without_others = PlacesForShortTasks(work, kEngines, kSlots);
+  const int64_t without_others =
+      MaxStreamsForShortTasks(work, kEngines, kSlots);
   work.others = 4 * static_cast<int64_t>(kEngines);
-  EXPECT_EQ(PlacesForShortTasks(work, kEngines, kSlots), without_others + 4);
+  EXPECT_EQ(MaxStreamsForShortTasks(work, kEngines, kSlots),
+            without_others + 4);
 }
 
 // Tasks that are late, or too many to run in time, are not delayed.
 TEST(PacingTest, LateOrExcessWorkGetsAllSlots) {
-  EXPECT_EQ(PlacesForShortTasks(MakeWork(10, 3), kEngines, kSlots), kSlots);
-  EXPECT_EQ(PlacesForShortTasks(MakeWork(500, 0), kEngines, kSlots), kSlots);
+  EXPECT_EQ(MaxStreamsForShortTasks(MakeWork(10, 3), kEngines, kSlots), kSlots);
+  EXPECT_EQ(MaxStreamsForShortTasks(MakeWork(500, 0), kEngines, kSlots),
+            kSlots);
 }
 
 // No due time, no lengths or no engine: tasks are not delayed.
 TEST(PacingTest, MissingEstimatesDelayNothing) {
   waiting_work work = MakeWork(54, 0);
   work.due = task_time(0);
-  EXPECT_EQ(PlacesForShortTasks(work, kEngines, kSlots), kSlots);
-  EXPECT_EQ(PlacesForShortTasks(MakeWork(0, 0), kEngines, kSlots), kSlots);
-  EXPECT_EQ(PlacesForShortTasks(MakeWork(54, 0), 0, kSlots), kSlots);
+  EXPECT_EQ(MaxStreamsForShortTasks(work, kEngines, kSlots), kSlots);
+  EXPECT_EQ(MaxStreamsForShortTasks(MakeWork(0, 0), kEngines, kSlots), kSlots);
+  EXPECT_EQ(MaxStreamsForShortTasks(MakeWork(54, 0), 0, kSlots), kSlots);
 }
 
 // Without hints every task counts as long, and all start at once.
@@ -72,7 +75,7 @@
   int64_t previous = 1;
   for (double age = 0; age < 4; age += 0.1) {
     const int64_t max_streams =
-        PlacesForShortTasks(MakeWork(runs, age), engines, slots);
+        MaxStreamsForShortTasks(MakeWork(runs, age), engines, slots);
     RC_ASSERT(max_streams >= previous && max_streams <= slots);
     previous = max_streams;
   }
--- a/tests/unit/steps/steps_test.cc
+++ b/tests/unit/steps/steps_test.cc
@@ -321,7 +321,7 @@
 // one.
 TEST(TaskChoiceTest, SeveralSlowEnginesAreAllDetected) {
   const std::vector<double> slowness =
-      Slowness({30, 31, 110, 112, 29, 105, 30, 108, 33});
+      RelativeSlowness({30, 31, 110, 112, 29, 105, 30, 108, 33});
   for (const size_t slow : {2, 3, 5, 7}) EXPECT_GT(slowness[slow], 3);
   for (const size_t fast : {0, 1, 4, 6, 8}) EXPECT_LT(slowness[fast], 1.2);
 }
@@ -332,7 +332,7 @@
   std::vector<double> gaps(9, 30);
   gaps[4] = 110;
   gaps[7] = 0;  // unknown
-  const std::vector<double> slowness = Slowness(gaps);
+  const std::vector<double> slowness = RelativeSlowness(gaps);
   EXPECT_NEAR(slowness[4], 110.0 / 30, 0.01);
   EXPECT_EQ(slowness[7], 1);
   std::vector<engine_load> engines;
@@ -340,10 +340,10 @@
     engines.push_back(Engine(std::to_string(i), 2));
     engines.back().slowness = slowness[i];
   }
-  EXPECT_TRUE(IsWorthMoving(engines[4], engines));
-  EXPECT_FALSE(IsWorthMoving(engines[3], engines));
+  EXPECT_TRUE(IsMoveWorthwhile(engines[4], engines));
+  EXPECT_FALSE(IsMoveWorthwhile(engines[3], engines));
   for (engine_load& engine : engines) engine.running = engine.slots;
-  EXPECT_FALSE(IsWorthMoving(engines[4], engines));
+  EXPECT_FALSE(IsMoveWorthwhile(engines[4], engines));
 }
 
 }  // namespace
