--- a/packages/entry/entry_instance.cc
+++ b/packages/entry/entry_instance.cc
@@ -62,7 +62,7 @@
           return AnswerReadiness(call);
         }) {
     follower.OnChange([this] {
-      plain.OnEndpoints();
+      plain.OnEndpointsChanged();
       crashes.OnView();
       stores_caller.SetInstances(peering::StoreAddresses(follower.View()));
     });
--- a/packages/entry/relay.cc
+++ b/packages/entry/relay.cc
@@ -44,7 +44,7 @@
       crashes_(crashes),
       sender_(loop, clock, pool, wire, view, crashes, std::move(own_zone)) {}
 
-void relay::OnEndpoints() { sender_.OnEndpoints(); }
+void relay::OnEndpointsChanged() { sender_.OnEndpointsChanged(); }
 
 time_point relay::DeadlineOf(const net::request& input,
                              const fleet::route& where) const {
--- a/packages/entry/relay.h
+++ b/packages/entry/relay.h
@@ -32,7 +32,7 @@
   boost::asio::awaitable<void> Serve(net::exchange& call, fleet::route where);
 
   // Called when the endpoints of the view have changed.
-  void OnEndpoints();
+  void OnEndpointsChanged();
 
  private:
   boost::asio::awaitable<net::response> Answer(const net::request& input,
--- a/packages/routing/request_sender.cc
+++ b/packages/routing/request_sender.cc
@@ -102,7 +102,7 @@
       crashes_(crashes),
       own_zone_(std::move(own_zone)) {}
 
-void request_sender::OnEndpoints() {
+void request_sender::OnEndpointsChanged() {
   RemoveUnlisted(book_, view_.endpoints);
   // Connections to a terminated incarnation are dead, or lead to the
   // incarnation that replaced it.
--- a/packages/routing/request_sender.h
+++ b/packages/routing/request_sender.h
@@ -70,7 +70,7 @@
                                             const send_terms& terms);
 
   // Called when the endpoints of the view have changed.
-  void OnEndpoints();
+  void OnEndpointsChanged();
 
   // Load records of the endpoints, shared with requests that are not sent by
   // Send().
--- a/packages/store/store_instance.cc
+++ b/packages/store/store_instance.cc
@@ -105,7 +105,7 @@
     const bool is_founder = settings.is_first_start &&
                             view.members.data_founder == settings.peers_address;
     if (is_founder) group.Bootstrap();
-    sender.OnEndpoints();
+    sender.OnEndpointsChanged();
     crashes.OnView();
     dispatch.OnView();
   }
