--- a/packages/group/group_host.cc
+++ b/packages/group/group_host.cc
@@ -161,7 +161,7 @@
           ? core::DecodeBinary<peering::consensus_messages>(result.answer.body)
           : std::optional<peering::consensus_messages>();
   if (!answers) {
-    if (result.is_timeout) pool_.Forget(peer.node);
+    if (result.is_timeout) pool_.CloseIdle(peer.node);
     co_await net::Sleep(kUnreachablePause);
     replica_.ReportUnreachable(peer);
     co_return;
--- a/packages/net/connection_pool.cc
+++ b/packages/net/connection_pool.cc
@@ -271,7 +271,7 @@
   waiting.push_back({std::move(held), std::chrono::steady_clock::now()});
 }
 
-void connection_pool::Forget(const std::string& address) {
+void connection_pool::CloseIdle(const std::string& address) {
   impl_->idle.erase(address);
 }
 
--- a/packages/net/connection_pool.h
+++ b/packages/net/connection_pool.h
@@ -104,7 +104,7 @@
   boost::asio::awaitable<connect_outcome> Probe(const std::string& address,
                                                 core::time_point deadline);
   // Closes the idle connections to `address`.
-  void Forget(const std::string& address);
+  void CloseIdle(const std::string& address);
 
   struct impl;
 
--- a/packages/peering/leader_caller.cc
+++ b/packages/peering/leader_caller.cc
@@ -104,7 +104,7 @@
       is_sent ? call_outcome::kUnknown : call_outcome::kUnavailable;
   answer.reason = result.error;
   // The other connections to that instance may be broken as well.
-  if (result.is_timeout) pool_.Forget(address);
+  if (result.is_timeout) pool_.CloseIdle(address);
   co_return answer;
 }
 
--- a/packages/routing/request_sender.cc
+++ b/packages/routing/request_sender.cc
@@ -111,7 +111,7 @@
     addresses[item.incarnation] = item.address;
   }
   for (const auto& [incarnation, address] : addresses_) {
-    if (addresses.count(incarnation) == 0) pool_.Forget(address);
+    if (addresses.count(incarnation) == 0) pool_.CloseIdle(address);
   }
   addresses_ = std::move(addresses);
 }
