--- a/packages/hickoryd/call_service.cc
+++ b/packages/hickoryd/call_service.cc
@@ -318,7 +318,7 @@
   request.connect_timeout = call->routing.connect_timeout;
   request.total_timeout = AttemptTimeout(*call);
   request.is_single_shot = call->kind != repeatability::kIdempotent;
-  request.needs_fresh_connection = routing::NeedsFreshConnection(
+  request.needs_fresh_connection = routing::NeedsNewConnection(
       suspicion_, endpoint.id, context_.clock.Now());
   context_.client.Send(
       std::move(request), [this, call](const http_response& response) {
--- a/packages/hickoryd/generation_service.cc
+++ b/packages/hickoryd/generation_service.cc
@@ -268,7 +268,7 @@
   request.connect_timeout =
       std::min(pool.progress_timeout, core::milliseconds(500));
   request.needs_fresh_connection =
-      routing::NeedsFreshConnection(suspicion_, endpoint.latest.id, now);
+      routing::NeedsNewConnection(suspicion_, endpoint.latest.id, now);
   const uint64_t id = item.id;
   const uint64_t attempt = item.attempt;
   request.on_status = [this, id, attempt](int status) {
--- a/packages/hickoryd/peer_links.cc
+++ b/packages/hickoryd/peer_links.cc
@@ -53,9 +53,9 @@
   return found->second;
 }
 
-bool peer_links::NeedsFreshConnection(const std::string& peer) const {
+bool peer_links::NeedsNewConnection(const std::string& peer) const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  return routing::NeedsFreshConnection(suspicion_, peer, clock_.Now());
+  return routing::NeedsNewConnection(suspicion_, peer, clock_.Now());
 }
 
 void peer_links::RecordTimeout(const std::string& peer) {
@@ -85,7 +85,7 @@
   request.connect_timeout = timeout;
   request.total_timeout = timeout;
   request.needs_fresh_connection =
-      timeout > kMaxSharedConnectionTimeout || NeedsFreshConnection(peer);
+      timeout > kMaxSharedConnectionTimeout || NeedsNewConnection(peer);
   client_.Send(std::move(request), [this, peer, done = std::move(done)](
                                        transport::http_response response) {
     if (response.is_timeout) RecordTimeout(peer);
--- a/packages/hickoryd/peer_links.h
+++ b/packages/hickoryd/peer_links.h
@@ -49,7 +49,7 @@
 
  private:
   std::optional<std::string> AddressOf(const std::string& peer) const;
-  bool NeedsFreshConnection(const std::string& peer) const;
+  bool NeedsNewConnection(const std::string& peer) const;
   void RecordTimeout(const std::string& peer);
 
   const core::runtime_clock& clock_;
--- a/packages/routing/stale_connections.cc
+++ b/packages/routing/stale_connections.cc
@@ -14,8 +14,8 @@
   suspicion.until[peer] = now + kSuspicionDuration;
 }
 
-bool NeedsFreshConnection(const stale_connections& suspicion,
-                          const std::string& peer, core::time_point now) {
+bool NeedsNewConnection(const stale_connections& suspicion,
+                        const std::string& peer, core::time_point now) {
   const auto found = suspicion.until.find(peer);
   return found != suspicion.until.end() && now < found->second;
 }
--- a/packages/routing/stale_connections.h
+++ b/packages/routing/stale_connections.h
@@ -21,8 +21,8 @@
 void RecordTimeout(stale_connections& suspicion, const std::string& peer,
                    core::time_point now);
 
-bool NeedsFreshConnection(const stale_connections& suspicion,
-                          const std::string& peer, core::time_point now);
+bool NeedsNewConnection(const stale_connections& suspicion,
+                        const std::string& peer, core::time_point now);
 
 }  // namespace hickorywood::routing
 
--- a/tests/unit/routing/routing_test.cc
+++ b/tests/unit/routing/routing_test.cc
@@ -248,12 +248,11 @@
 
 TEST(StaleConnectionsTest, EndsWithTheAgeOfTheConnections) {
   stale_connections suspicion;
-  EXPECT_FALSE(NeedsFreshConnection(suspicion, "a", kStart));
+  EXPECT_FALSE(NeedsNewConnection(suspicion, "a", kStart));
   RecordTimeout(suspicion, "a", kStart);
-  EXPECT_TRUE(
-      NeedsFreshConnection(suspicion, "a", kStart + milliseconds(20000)));
+  EXPECT_TRUE(NeedsNewConnection(suspicion, "a", kStart + milliseconds(20000)));
   EXPECT_FALSE(
-      NeedsFreshConnection(suspicion, "a", kStart + milliseconds(21000)));
+      NeedsNewConnection(suspicion, "a", kStart + milliseconds(21000)));
 }
 
 }  // namespace
