--- a/packages/routing/adaptive_limit.cc
+++ b/packages/routing/adaptive_limit.cc
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-int64_t AllowedNow(const adaptive_limit& limit, int64_t slots) {
+int64_t MaxRequestsInFlight(const adaptive_limit& limit, int64_t slots) {
   return static_cast<int64_t>(CurrentLimit(limit, slots));
 }
 
--- a/packages/routing/adaptive_limit.h
+++ b/packages/routing/adaptive_limit.h
@@ -19,7 +19,7 @@
 
 // The number of requests that may be in flight to endpoints that have `slots`
 // slots in total. `slots` is 0 when the number of slots is unknown.
-int64_t AllowedNow(const adaptive_limit& limit, int64_t slots);
+int64_t MaxRequestsInFlight(const adaptive_limit& limit, int64_t slots);
 
 // Raises the limit after an endpoint served a request.
 void RecordServed(adaptive_limit& limit, int64_t slots);
--- a/packages/store/reward_caller.cc
+++ b/packages/store/reward_caller.cc
@@ -103,7 +103,8 @@
 
 int64_t reward_caller::FreeSlotsAt(const fleet::route& where) {
   const route_state& state = routes_[where.name];
-  return routing::AllowedNow(state.limit, SlotsOf(where)) - state.running;
+  return routing::MaxRequestsInFlight(state.limit, SlotsOf(where)) -
+         state.running;
 }
 
 void reward_caller::Start(const std::shared_ptr<job_state>& job,
--- a/tests/unit/routing/adaptive_limit_test.cc
+++ b/tests/unit/routing/adaptive_limit_test.cc
@@ -12,7 +12,7 @@
 const core::time_point kStart = core::time_point(seconds(100));
 
 TEST(AdaptiveLimitTest, StartsAtHalfOfTheSlots) {
-  EXPECT_EQ(AllowedNow(adaptive_limit{}, kSlots), kSlots / 2);
+  EXPECT_EQ(MaxRequestsInFlight(adaptive_limit{}, kSlots), kSlots / 2);
 }
 
 // The number of slots is unknown, or there is only one. The limit must stay
@@ -20,11 +20,11 @@
 // grow.
 TEST(AdaptiveLimitTest, NeverFallsToZero) {
   adaptive_limit limit;
-  EXPECT_GE(AllowedNow(limit, 0), 1);
+  EXPECT_GE(MaxRequestsInFlight(limit, 0), 1);
   for (int i = 0; i < 50; ++i) {
     RecordRejected(limit, 1, kStart + seconds(i));
   }
-  EXPECT_GE(AllowedNow(limit, 1), 1);
+  EXPECT_GE(MaxRequestsInFlight(limit, 1), 1);
 }
 
 // Interactive requests fill the endpoints, which reject deferrable requests.
@@ -33,22 +33,22 @@
 TEST(AdaptiveLimitTest, FallsWithRejectionsAndRecovers) {
   adaptive_limit limit;
   RecordRejected(limit, kSlots, kStart);
-  const int64_t after_one = AllowedNow(limit, kSlots);
+  const int64_t after_one = MaxRequestsInFlight(limit, kSlots);
   EXPECT_LT(after_one, kSlots / 2);
   // This request was sent under the same limit, so its rejection doesn't count.
   RecordRejected(limit, kSlots, kStart + milliseconds(50));
-  EXPECT_EQ(AllowedNow(limit, kSlots), after_one);
+  EXPECT_EQ(MaxRequestsInFlight(limit, kSlots), after_one);
   RecordRejected(limit, kSlots, kStart + seconds(1));
-  EXPECT_LT(AllowedNow(limit, kSlots), after_one);
+  EXPECT_LT(MaxRequestsInFlight(limit, kSlots), after_one);
   for (int i = 0; i < 1000; ++i) RecordServed(limit, kSlots);
-  EXPECT_EQ(AllowedNow(limit, kSlots), kSlots / 2);
+  EXPECT_EQ(MaxRequestsInFlight(limit, kSlots), kSlots / 2);
 }
 
 // Half of the endpoints are removed: the limit follows immediately.
 TEST(AdaptiveLimitTest, FollowsTheNumberOfSlots) {
   adaptive_limit limit;
   RecordServed(limit, kSlots);
-  EXPECT_EQ(AllowedNow(limit, kSlots / 2), kSlots / 4);
+  EXPECT_EQ(MaxRequestsInFlight(limit, kSlots / 2), kSlots / 4);
 }
 
 }  // namespace
