--- a/packages/peering/messages.h
+++ b/packages/peering/messages.h
@@ -42,7 +42,7 @@
 constexpr char kEndStepMethod[] = "end_step";
 // A store requests tasks to run from the data leader, and reports their
 // outcomes.
-constexpr char kTakeOrdersMethod[] = "take_orders";
+constexpr char kPollOrdersMethod[] = "take_orders";
 constexpr char kReportRunsMethod[] = "report_runs";
 // Requests that a store is emptied, and reads whether nothing depends on it any
 // more. The control leader identifies the store by its instance, the data
--- a/packages/store/dispatcher_runs.cc
+++ b/packages/store/dispatcher_runs.cc
@@ -89,7 +89,7 @@
 awaitable<peering::envelope> dispatcher::HandleRunner(std::string method,
                                                       std::string payload) {
   if (!is_leading_ || !group_.IsServing()) co_return group::NotLeader(group_);
-  if (method == peering::kTakeOrdersMethod) {
+  if (method == peering::kPollOrdersMethod) {
     co_return co_await HandleOrdersRequest(std::move(payload));
   }
   co_return HandleReportsRequest(payload);
--- a/packages/store/remote_runner.cc
+++ b/packages/store/remote_runner.cc
@@ -87,7 +87,7 @@
     input.received = last_answer_number_;
     input.wait_ms = wait.count();
     const envelope reply = co_await leader_.Call(
-        peering::kTakeOrdersMethod, core::EncodeBinary(input),
+        peering::kPollOrdersMethod, core::EncodeBinary(input),
         clock_.Now() + attempt_timeout, attempt_timeout);
     auto answer = reply.outcome == call_outcome::kDone
                       ? core::DecodeBinary<orders_answer>(reply.payload)
--- a/packages/store/store_instance.cc
+++ b/packages/store/store_instance.cc
@@ -140,7 +140,7 @@
   }
 
   awaitable<peering::envelope> Handle(std::string method, std::string payload) {
-    const bool is_of_runner = method == peering::kTakeOrdersMethod ||
+    const bool is_of_runner = method == peering::kPollOrdersMethod ||
                               method == peering::kReportRunsMethod;
     return is_of_runner
                ? dispatch.HandleRunner(std::move(method), std::move(payload))
