--- a/packages/core/events.cc
+++ b/packages/core/events.cc
@@ -168,7 +168,7 @@
       {event_id::kStepEnded, kInfo, "rollout", "step ended by its trainer"},
       {event_id::kTaskDispatched, kInfo, "rollout", "task dispatched"},
       {event_id::kTaskRunEnded, kInfo, "rollout", "run of a task ended"},
-      {event_id::kTaskGivenUp, kWarning, "rollout", "task failed"},
+      {event_id::kTaskFailed, kWarning, "rollout", "task failed"},
       {event_id::kResultsNotCommitted, kWarning, "rollout",
        "results not committed"},
       {event_id::kResultsNotRead, kError, "rollout",
--- a/packages/core/events.h
+++ b/packages/core/events.h
@@ -81,7 +81,7 @@
   kStepEnded = 6006,
   kTaskDispatched = 6007,
   kTaskRunEnded = 6008,
-  kTaskGivenUp = 6009,
+  kTaskFailed = 6009,
   kResultsNotCommitted = 6010,
   kResultsNotRead = 6011,
   kRewardCallEnded = 6012,
--- a/packages/store/dispatcher_results.cc
+++ b/packages/store/dispatcher_results.cc
@@ -71,7 +71,7 @@
     result.output = steps::JoinText(task->text);
     result.versions = task->text.versions;
   } else {
-    LogEvent(event_id::kTaskGivenUp,
+    LogEvent(event_id::kTaskFailed,
              {{"step", key.step},
               {"task", Text(key.task)},
               {"failures", std::to_string(task->failures)}});
