--- a/packages/group/group_host.cc
+++ b/packages/group/group_host.cc
@@ -219,7 +219,7 @@
   return DecodeCommand(*data);
 }
 
-bool group_host::IsSpread() const {
+bool group_host::IsReplicatedBeyondOneDisk() const {
   return Voters().size() >= settings_.spread_voters;
 }
 
--- a/packages/group/group_host.h
+++ b/packages/group/group_host.h
@@ -78,7 +78,7 @@
   bool IsServing() const { return replica_.IsServing(); }
   // Whether enough voters have the state, so that the loss of a single disk
   // can't destroy acknowledged commands.
-  bool IsSpread() const;
+  bool IsReplicatedBeyondOneDisk() const;
   bool HasFailed() const { return replica_.HasFailed(); }
   uint64_t Term() const { return replica_.Raft().hard.term; }
   core::time_point ElectedAt() const { return replica_.Raft().elected_at; }
--- a/packages/store/step_service.cc
+++ b/packages/store/step_service.cc
@@ -236,7 +236,8 @@
   const std::vector<std::string> members = group_.Members();
   const bool is_member =
       std::find(members.begin(), members.end(), input->name) != members.end();
-  const peering::flag_answer answer{!is_member && group_.IsSpread()};
+  const peering::flag_answer answer{!is_member &&
+                                    group_.IsReplicatedBeyondOneDisk()};
   co_return Done(core::EncodeBinary(answer));
 }
 
