--- a/packages/core/events.cc
+++ b/packages/core/events.cc
@@ -29,7 +29,7 @@
 }
 
 const event_info* FindEvent(event_id id) {
-  for (const event_info& info : EventCatalogue()) {
+  for (const event_info& info : AllEvents()) {
     if (info.id == id) return &info;
   }
   return nullptr;
@@ -78,7 +78,7 @@
 
 }  // namespace
 
-const std::vector<event_info>& EventCatalogue() {
+const std::vector<event_info>& AllEvents() {
   constexpr auto kInfo = event_level::kInfo;
   constexpr auto kWarning = event_level::kWarning;
   constexpr auto kError = event_level::kError;
--- a/packages/core/events.h
+++ b/packages/core/events.h
@@ -100,7 +100,7 @@
 };
 
 // All events, ordered by number.
-const std::vector<event_info>& EventCatalogue();
+const std::vector<event_info>& AllEvents();
 
 using event_field = std::pair<const char*, std::string>;
 
--- a/tests/unit/core/events_test.cc
+++ b/tests/unit/core/events_test.cc
@@ -26,7 +26,7 @@
     if (line.rfind("| HK", 0) == 0) documented.insert(line.substr(2, 6));
   }
   std::set<std::string> in_code;
-  for (const event_info& info : EventCatalogue()) {
+  for (const event_info& info : AllEvents()) {
     in_code.insert("HK" + std::to_string(static_cast<int>(info.id)));
   }
   EXPECT_EQ(documented, in_code);
@@ -54,7 +54,7 @@
 
 TEST(EventsTest, NumbersAreUniqueAndAscending) {
   int last = 0;
-  for (const event_info& info : EventCatalogue()) {
+  for (const event_info& info : AllEvents()) {
     EXPECT_GT(static_cast<int>(info.id), last);
     last = static_cast<int>(info.id);
   }
--- a/tests/unit/hickoryd/event_metrics_test.cc
+++ b/tests/unit/hickoryd/event_metrics_test.cc
@@ -14,10 +14,10 @@
 using ::testing::Not;
 
 const core::event_info& Info(core::event_id id) {
-  for (const core::event_info& info : core::EventCatalogue()) {
+  for (const core::event_info& info : core::AllEvents()) {
     if (info.id == id) return info;
   }
-  return core::EventCatalogue().front();
+  return core::AllEvents().front();
 }
 
 TEST(EventMetricsTest, CountsEventsAndRecordsDurations) {
