--- a/packages/core/log_sink.cc
+++ b/packages/core/log_sink.cc
@@ -95,7 +95,7 @@
   }
 }
 
-uint64_t log_sink::TakeDropped() {
+uint64_t log_sink::ExchangeDroppedCount() {
   const std::lock_guard<std::mutex> lock(mutex_);
   return std::exchange(dropped_, 0);
 }
--- a/packages/core/log_sink.h
+++ b/packages/core/log_sink.h
@@ -35,7 +35,7 @@
   void OnFirstLine(std::function<void()> wake);
 
   // Number of lines dropped since the last call.
-  uint64_t TakeDropped();
+  uint64_t ExchangeDroppedCount();
 
  private:
   void MakeRoom(size_t bytes);
--- a/packages/hickoryd/node_main.cc
+++ b/packages/hickoryd/node_main.cc
@@ -194,7 +194,7 @@
         co_await net::Sleep(kLogDelay);
         core::log_sink& sink = core::log_sink::Standard();
         sink.Flush();
-        const uint64_t dropped = sink.TakeDropped();
+        const uint64_t dropped = sink.ExchangeDroppedCount();
         if (dropped > 0) {
           LogEvent(event_id::kLogLinesDropped,
                    {{"lines", std::to_string(dropped)}});
--- a/tests/unit/core/log_sink_test.cc
+++ b/tests/unit/core/log_sink_test.cc
@@ -54,9 +54,9 @@
     sink.Flush();
   }
   sink.Add("warning", true);
-  const uint64_t dropped = sink.TakeDropped();
+  const uint64_t dropped = sink.ExchangeDroppedCount();
   EXPECT_GT(dropped, 1000U);
-  EXPECT_EQ(sink.TakeDropped(), 0U);
+  EXPECT_EQ(sink.ExchangeDroppedCount(), 0U);
   std::string text;
   for (int i = 0; i < 100; ++i) {
     text += ReadAll();
