--- a/tests/integration/deployment_test.cc
+++ b/tests/integration/deployment_test.cc
@@ -25,7 +25,7 @@
     const std::string id = result["id"];
     EXPECT_TRUE(seen.insert(id).second) << id << " is listed twice";
     EXPECT_EQ(result["state"], "completed") << id;
-    EXPECT_EQ(result["output"], stand_in_endpoints::OutputOf(id));
+    EXPECT_EQ(result["output"], simulated_endpoints::OutputOf(id));
     EXPECT_EQ(result["versions"], json({1})) << id;
   }
   for (int i = 0; i < tasks; ++i) {
@@ -182,7 +182,7 @@
 TEST(DeploymentTest, BrokenStreamsAreResumed) {
   deployment fleet;
   ASSERT_TRUE(fleet.Start());
-  fleet.Endpoints().BreakStreamsAfter(stand_in_endpoints::kEvents / 2);
+  fleet.Endpoints().BreakStreamsAfter(simulated_endpoints::kEvents / 2);
   ASSERT_TRUE(fleet.Submit("e1", "broken", 6));
   ExpectCompleteResults(fleet.WaitForResults("e2", "broken", 6), "broken", 6);
   EXPECT_EQ(fleet.Endpoints().RunsOf(deployment::TaskId("broken", 0)), 2);
--- a/tests/soak/soak_callers.cc
+++ b/tests/soak/soak_callers.cc
@@ -172,7 +172,7 @@
     return;
   }
   const bool is_ok =
-      result.value("output", "") == stand_in_endpoints::OutputOf(id) &&
+      result.value("output", "") == simulated_endpoints::OutputOf(id) &&
       result.value("versions", json()) == json({1});
   if (!is_ok) errors_.Add("task " + id + " has the result " + result.dump());
   for (const auto& [other, item] : known) {
--- a/tests/soak/stuttering_fleet.cc
+++ b/tests/soak/stuttering_fleet.cc
@@ -5,7 +5,7 @@
 #include <future>
 #include <nlohmann/json.hpp>
 
-#include "support/stand_in_endpoints.h"
+#include "support/simulated_endpoints.h"
 
 namespace hickorywood::testing {
 namespace {
@@ -114,7 +114,7 @@
   if (!is_second) ++runs_[id];
   if (self.service == "engines") {
     const std::string last(net::Find(input.headers, "Last-Event-Id"));
-    return {200, stand_in_endpoints::StreamOf(
+    return {200, simulated_endpoints::StreamOf(
                      id, last.empty() ? 1 : std::stoi(last) + 1)};
   }
   return {200, "echo " + input.body};
@@ -124,7 +124,7 @@
   const std::lock_guard<std::mutex> lock(mutex_);
   std::map<std::string, std::string> bodies;
   for (const auto& [incarnation, item] : endpoints_) {
-    bodies[incarnation] = stand_in_endpoints::Heartbeat(
+    bodies[incarnation] = simulated_endpoints::Heartbeat(
         item->service, item->address, item->version, ++item->sequence);
   }
   return bodies;
--- a/tests/support/deployment.h
+++ b/tests/support/deployment.h
@@ -14,7 +14,7 @@
 #include <vector>
 
 #include "support/process.h"
-#include "support/stand_in_endpoints.h"
+#include "support/simulated_endpoints.h"
 #include "support/web.h"
 
 namespace hickorywood::testing {
@@ -119,7 +119,7 @@
   static std::string RewardId(const std::string& step, int task);
   const std::vector<std::string>& Stores() const { return stores_; }
   const std::vector<std::string>& Controls() const { return controls_; }
-  stand_in_endpoints& Endpoints() { return endpoints_; }
+  simulated_endpoints& Endpoints() { return endpoints_; }
   web& Web() { return web_; }
   std::string LogOf(const std::string& id) const {
     return folder_ + "/" + id + ".log";
@@ -152,7 +152,7 @@
   std::map<std::string, node> nodes_;
   std::vector<std::string> stores_;
   std::vector<std::string> controls_;
-  stand_in_endpoints endpoints_;
+  simulated_endpoints endpoints_;
   web web_;
   std::atomic<bool> is_stopping_{false};
   std::thread heartbeats_;
--- a/tests/support/stand_in_endpoints.cc
+++ b/tests/support/simulated_endpoints.cc
@@ -1,4 +1,4 @@
-#include "support/stand_in_endpoints.h"
+#include "support/simulated_endpoints.h"
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -46,7 +46,7 @@
 
 }  // namespace
 
-struct stand_in_endpoints::endpoint {
+struct simulated_endpoints::endpoint {
   std::string incarnation;
   std::string service;
   std::unique_ptr<net::listener> listening;
@@ -57,18 +57,18 @@
   bool has_crashed = false;
 };
 
-stand_in_endpoints::stand_in_endpoints()
+simulated_endpoints::simulated_endpoints()
     : thread_([this] {
         const auto guard = boost::asio::make_work_guard(loop_);
         loop_.run();
       }) {}
 
-stand_in_endpoints::~stand_in_endpoints() {
+simulated_endpoints::~simulated_endpoints() {
   loop_.stop();
   thread_.join();
 }
 
-std::string stand_in_endpoints::Start(const std::string& service) {
+std::string simulated_endpoints::Start(const std::string& service) {
   std::promise<std::string> name;
   boost::asio::post(loop_, [this, &service, &name] {
     name.set_value(Open(service, "127.0.0.1:0")->incarnation);
@@ -76,7 +76,7 @@
   return name.get_future().get();
 }
 
-std::shared_ptr<stand_in_endpoints::endpoint> stand_in_endpoints::Open(
+std::shared_ptr<simulated_endpoints::endpoint> simulated_endpoints::Open(
     const std::string& service, const std::string& address) {
   auto created = std::make_shared<endpoint>();
   created->service = service;
@@ -94,32 +94,32 @@
   return created;
 }
 
-void stand_in_endpoints::CrashOnBody(const std::string& body) {
+void simulated_endpoints::CrashOnBody(const std::string& body) {
   const std::lock_guard<std::mutex> lock(mutex_);
   crash_body_ = body;
 }
 
-void stand_in_endpoints::CrashAfterEvents(int events) {
+void simulated_endpoints::CrashAfterEvents(int events) {
   const std::lock_guard<std::mutex> lock(mutex_);
   crash_after_ = events;
 }
 
-int stand_in_endpoints::Crashes() {
+int simulated_endpoints::Crashes() {
   const std::lock_guard<std::mutex> lock(mutex_);
   return crashes_;
 }
 
-size_t stand_in_endpoints::Running() {
+size_t simulated_endpoints::Running() {
   const std::lock_guard<std::mutex> lock(mutex_);
   return endpoints_.size();
 }
 
-bool stand_in_endpoints::IsCrashing(const net::request& input) {
+bool simulated_endpoints::IsCrashing(const net::request& input) {
   const std::lock_guard<std::mutex> lock(mutex_);
   return !crash_body_.empty() && input.body == crash_body_;
 }
 
-void stand_in_endpoints::Crash(const std::shared_ptr<endpoint>& self) {
+void simulated_endpoints::Crash(const std::shared_ptr<endpoint>& self) {
   if (self->has_crashed) return;
   self->has_crashed = true;
   self->listening->StopAccepting();
@@ -132,26 +132,26 @@
                         boost::asio::detached);
 }
 
-awaitable<void> stand_in_endpoints::CrashSoon(std::shared_ptr<endpoint> self,
-                                              std::chrono::milliseconds time) {
+awaitable<void> simulated_endpoints::CrashSoon(std::shared_ptr<endpoint> self,
+                                               std::chrono::milliseconds time) {
   co_await net::Sleep(time);
   Crash(self);
 }
 
-awaitable<void> stand_in_endpoints::Restart(std::string service,
-                                            std::string address) {
+awaitable<void> simulated_endpoints::Restart(std::string service,
+                                             std::string address) {
   co_await net::Sleep(kDownTime);
   Open(service, address);
 }
 
-std::vector<std::string> stand_in_endpoints::Incarnations() {
+std::vector<std::string> simulated_endpoints::Incarnations() {
   const std::lock_guard<std::mutex> lock(mutex_);
   std::vector<std::string> names;
   for (const auto& item : endpoints_) names.push_back(item.first);
   return names;
 }
 
-std::string stand_in_endpoints::HeartbeatOf(const std::string& incarnation) {
+std::string simulated_endpoints::HeartbeatOf(const std::string& incarnation) {
   const std::lock_guard<std::mutex> lock(mutex_);
   const auto found = endpoints_.find(incarnation);
   if (found == endpoints_.end()) return "";
@@ -159,9 +159,9 @@
   return Heartbeat(self.service, self.address, self.version, ++self.sequence);
 }
 
-std::string stand_in_endpoints::Heartbeat(const std::string& service,
-                                          const std::string& address,
-                                          int64_t version, int sequence) {
+std::string simulated_endpoints::Heartbeat(const std::string& service,
+                                           const std::string& address,
+                                           int64_t version, int sequence) {
   const json models = json::array({{{"name", "m"}, {"version", version}}});
   return json({{"service", service},
                {"address", address},
@@ -175,37 +175,37 @@
       .dump();
 }
 
-void stand_in_endpoints::SetWorkTime(std::chrono::milliseconds time) {
+void simulated_endpoints::SetWorkTime(std::chrono::milliseconds time) {
   const std::lock_guard<std::mutex> lock(mutex_);
   work_time_ = time;
 }
 
-void stand_in_endpoints::SetEventTime(std::chrono::milliseconds time) {
+void simulated_endpoints::SetEventTime(std::chrono::milliseconds time) {
   const std::lock_guard<std::mutex> lock(mutex_);
   event_time_ = time;
 }
 
-void stand_in_endpoints::BreakStreamsAfter(int events) {
+void simulated_endpoints::BreakStreamsAfter(int events) {
   const std::lock_guard<std::mutex> lock(mutex_);
   break_after_ = events;
 }
 
-void stand_in_endpoints::FailPlain(const std::string& request_id, int times) {
+void simulated_endpoints::FailPlain(const std::string& request_id, int times) {
   const std::lock_guard<std::mutex> lock(mutex_);
   failures_left_[request_id] = times;
 }
 
-int stand_in_endpoints::EarlyRewards() {
+int simulated_endpoints::EarlyRewards() {
   const std::lock_guard<std::mutex> lock(mutex_);
   return early_rewards_;
 }
 
-int stand_in_endpoints::RunsOf(const std::string& request_id) {
+int simulated_endpoints::RunsOf(const std::string& request_id) {
   const std::lock_guard<std::mutex> lock(mutex_);
   return runs_[request_id];
 }
 
-std::string stand_in_endpoints::OutputOf(const std::string& request_id) {
+std::string simulated_endpoints::OutputOf(const std::string& request_id) {
   std::string output;
   for (int event = 1; event <= kEvents; ++event) {
     output += (event == 1 ? "" : "\n") + EventData(request_id, event);
@@ -213,8 +213,8 @@
   return output;
 }
 
-std::string stand_in_endpoints::StreamOf(const std::string& request_id,
-                                         int first) {
+std::string simulated_endpoints::StreamOf(const std::string& request_id,
+                                          int first) {
   std::string stream;
   for (int event = first; event <= kEvents; ++event) {
     stream += EventFrame(request_id, event);
@@ -222,13 +222,13 @@
   return stream;
 }
 
-void stand_in_endpoints::CountRun(const std::string& request_id) {
+void simulated_endpoints::CountRun(const std::string& request_id) {
   const std::lock_guard<std::mutex> lock(mutex_);
   ++runs_[request_id];
 }
 
-awaitable<void> stand_in_endpoints::Serve(std::shared_ptr<endpoint> self,
-                                          net::exchange& call) {
+awaitable<void> simulated_endpoints::Serve(std::shared_ptr<endpoint> self,
+                                           net::exchange& call) {
   const net::request& input = call.Request();
   const std::string_view wanted = net::Find(input.headers, "X-Expect-Instance");
   if (wanted != self->incarnation) {
@@ -271,8 +271,8 @@
   }
 }
 
-awaitable<void> stand_in_endpoints::ServePlain(std::shared_ptr<endpoint> self,
-                                               net::exchange& call) {
+awaitable<void> simulated_endpoints::ServePlain(std::shared_ptr<endpoint> self,
+                                                net::exchange& call) {
   const net::request& input = call.Request();
   const std::string id(net::Find(input.headers, "X-Request-Id"));
   CountRun(id);
@@ -289,8 +289,8 @@
   co_await call.Reply(std::move(answer));
 }
 
-awaitable<void> stand_in_endpoints::ServeStream(std::shared_ptr<endpoint> self,
-                                                net::exchange& call) {
+awaitable<void> simulated_endpoints::ServeStream(std::shared_ptr<endpoint> self,
+                                                 net::exchange& call) {
   const net::request& input = call.Request();
   const std::string id(net::Find(input.headers, "X-Request-Id"));
   const std::string last(net::Find(input.headers, "Last-Event-Id"));
--- a/tests/support/stand_in_endpoints.h
+++ b/tests/support/simulated_endpoints.h
@@ -1,5 +1,5 @@
-#ifndef HICKORYWOOD_TESTS_SUPPORT_STAND_IN_ENDPOINTS_H_
-#define HICKORYWOOD_TESTS_SUPPORT_STAND_IN_ENDPOINTS_H_
+#ifndef HICKORYWOOD_TESTS_SUPPORT_SIMULATED_ENDPOINTS_H_
+#define HICKORYWOOD_TESTS_SUPPORT_SIMULATED_ENDPOINTS_H_
 
 // Simulated endpoints of the platform within the test's process: plain services
 // that echo requests, and engines that stream events. They reject requests for
@@ -20,12 +20,12 @@
 
 namespace hickorywood::testing {
 
-class stand_in_endpoints {
+class simulated_endpoints {
  public:
-  stand_in_endpoints();
-  ~stand_in_endpoints();
-  stand_in_endpoints(const stand_in_endpoints&) = delete;
-  stand_in_endpoints& operator=(const stand_in_endpoints&) = delete;
+  simulated_endpoints();
+  ~simulated_endpoints();
+  simulated_endpoints(const simulated_endpoints&) = delete;
+  simulated_endpoints& operator=(const simulated_endpoints&) = delete;
 
   // Starts an endpoint of `service` and returns its incarnation.
   std::string Start(const std::string& service);
@@ -112,4 +112,4 @@
 
 }  // namespace hickorywood::testing
 
-#endif  // HICKORYWOOD_TESTS_SUPPORT_STAND_IN_ENDPOINTS_H_
+#endif  // HICKORYWOOD_TESTS_SUPPORT_SIMULATED_ENDPOINTS_H_
