--- a/packages/core/event_loop.cc
+++ b/packages/core/event_loop.cc
@@ -66,7 +66,7 @@
 
 void event_loop::Run() {
   for (;;) {
-    std::deque<task> burst;
+    std::deque<task> batch;
     bool stop = false;
     {
       std::unique_lock<std::mutex> lock(mutex_);
@@ -79,13 +79,13 @@
         }
         wake_.wait_for(lock, wait);
       }
-      burst.swap(queue_);
+      batch.swap(queue_);
       stop = stopping_;
     }
-    for (task& work : burst) work();
+    for (task& work : batch) work();
     RunDueTimers();
     if (on_idle_) on_idle_();
-    if (stop && burst.empty()) return;
+    if (stop && batch.empty()) return;
   }
 }
 
--- a/packages/core/event_loop.h
+++ b/packages/core/event_loop.h
@@ -42,7 +42,7 @@
   // before Start().
   void Every(milliseconds period, task work);
   // Sets a callback that runs on the loop after each batch of tasks, for
-  // example to sync storage once for the whole batch.
+  // example to sync storage once per batch.
   void OnIdle(task work);
 
   // Number of queued tasks.
