--- a/packages/consensus/file_storage.cc
+++ b/packages/consensus/file_storage.cc
@@ -38,7 +38,7 @@
 constexpr char kLogPrefix[] = "log-";
 constexpr char kTemporarySuffix[] = ".tmp";
 // Size at which a new log file is started. Entries covered by a snapshot are
-// removed by deleting whole files, without copying. The entries that a store
+// removed by deleting entire files, without copying. The entries that a store
 // retains for two minutes under high load fill a few files of this size.
 constexpr uint64_t kLogFileRotationBytes = 8 * 1024 * 1024;
 constexpr char kLockName[] = "lock";
--- a/packages/consensus/file_storage.h
+++ b/packages/consensus/file_storage.h
@@ -2,6 +2,7 @@
 #define HICKORYWOOD_CONSENSUS_FILE_STORAGE_H_
 
 // Stores the log and the snapshot of a replica in one folder:
+//   lock      locked by the process that uses the folder
 //   identity  the storage id, created when the folder is first used
 //   snapshot  one frame: the latest snapshot
 //   log, log-1, log-2 ...  frames (log_frames.h); the first frame of a file has
--- a/packages/consensus/log_frames.h
+++ b/packages/consensus/log_frames.h
@@ -51,7 +51,7 @@
 bool ReadAt(int fd, uint64_t offset, size_t size, std::string& bytes);
 
 // Reads a log file frame by frame, so that a restart doesn't need memory for
-// the whole file in addition to the decoded entries.
+// the entire file in addition to the decoded entries.
 class frame_reader {
  public:
   explicit frame_reader(const std::string& path);
--- a/packages/consensus/raft.h
+++ b/packages/consensus/raft.h
@@ -4,7 +4,7 @@
 // The Raft consensus algorithm for one replica, as free functions over a plain
 // struct. Inputs are messages, proposals and clock ticks; outputs are messages,
 // disk writes and committed entries. There is no I/O and no clock access here,
-// so tests can run whole groups through any schedule of failures.
+// so tests can run complete groups through any schedule of failures.
 //
 // The caller must make the writes of a raft_output durable before it sends the
 // messages or applies the committed entries.
--- a/packages/consensus/raft_leader.cc
+++ b/packages/consensus/raft_leader.cc
@@ -186,14 +186,14 @@
 
 // Whether the group accepts another learner: there may be one for each missing
 // voter, plus the spare ones. All instances ask to join when a voter is
-// missing. When all of them were accepted at once, each received the whole log
-// at the same time, and the leader had no CPU time left for its heartbeats.
+// missing. When all of them were accepted at once, each received the entire
+// log at the same time, and the leader had no CPU time left for its heartbeats.
 bool AcceptsLearners(const raft_state& state, const group_members& members) {
   const size_t wanted = state.options.wanted_voters;
   const size_t voters = members.voters.size();
-  const size_t places = wanted > voters ? wanted - voters : 0;
+  const size_t missing = wanted > voters ? wanted - voters : 0;
   return wanted == 0 ||
-         members.learners.size() < places + state.options.spare_learners;
+         members.learners.size() < missing + state.options.spare_learners;
 }
 
 bool IsUnreachableLearner(const raft_state& state, const member& learner,
@@ -275,8 +275,8 @@
   if (state.is_lease_released && now - state.transfer_started_at > timeout) {
     return true;
   }
-  // Without contact to a quorum for a whole election timeout there may be
-  // another leader.
+  // After an election timeout without contact to a quorum there may be another
+  // leader.
   return now - state.elected_at > timeout &&
          now - LeaseStart(state, now) > timeout;
 }
--- a/packages/consensus/storage.h
+++ b/packages/consensus/storage.h
@@ -48,7 +48,7 @@
 
   // Must be called before Load(). Load() then passes the snapshot and the
   // committed entries to `replay` and doesn't keep their data in memory:
-  // loading the whole log at once needed more memory than normal operation.
+  // loading the entire log at once needed more memory than normal operation.
   virtual void SetReplay(log_replay replay) = 0;
   // Returns nothing, with kCorrupt if the folder is damaged or kIo if it can't
   // be read.
