--- a/packages/membership/endpoint_table.cc
+++ b/packages/membership/endpoint_table.cc
@@ -8,8 +8,9 @@
 namespace hickorywood::membership {
 namespace {
 
-// The load changes constantly. Sending every change to all instances would cost
-// more than the precision is worth.
+// Minimum interval between two updates that only change the load of an
+// endpoint. The load changes constantly, and more precise values would not
+// justify the cost of sending every change to all instances.
 constexpr core::milliseconds kLoadPublishInterval{200};
 constexpr size_t kMaxTextBytes = 128;
 constexpr int64_t kMaxCount = 1000000;
@@ -111,8 +112,8 @@
     return merge_result::kChanged;
   }
   endpoint_record& record = found->second;
-  const bool is_alive = IsServing(record, now);
-  if (is_alive && input.address != record.latest.address) {
+  const bool is_serving = IsServing(record, now);
+  if (is_serving && input.address != record.latest.address) {
     core::SetLastReason(
         core::reason_code::kConflict,
         "'" + input.id + "' is in use at " + record.latest.address);
