--- a/packages/control/configuration_lease.h
+++ b/packages/control/configuration_lease.h
@@ -46,8 +46,8 @@
                 core::time_point now);
 
 // Marks instances whose lease has expired while their site is unreachable,
-// since they may still be serving. Call it at short intervals; a renewal clears
-// the mark.
+// since they may still be serving. A renewal, or the exclusion of the site from
+// `site_sizes`, clears the mark. Call this function at short intervals.
 void MarkUnreachableSites(lease_table& leases,
                           const std::map<std::string, size_t>& site_sizes,
                           core::time_point now);
--- a/packages/control/replica.cc
+++ b/packages/control/replica.cc
@@ -103,10 +103,10 @@
   input.now_ms = core::ToUnixMillis(clock_.WallNow());
   return group_.Propose(
       core::Encode(input),
-      [this, done = std::move(done)](consensus::proposal_outcome end) {
+      [this, done = std::move(done)](consensus::proposal_outcome outcome) {
         proposal_answer answer = NotLeader();
         answer.status = proposal_status::kLost;
-        if (end == consensus::proposal_outcome::kCommitted) {
+        if (outcome == consensus::proposal_outcome::kCommitted) {
           answer.status = proposal_status::kDone;
           answer.result = last_result_;
         }
--- a/packages/control/replica_leases.cc
+++ b/packages/control/replica_leases.cc
@@ -112,9 +112,10 @@
 }
 
 // A site can become unreachable between the check and the commit. Its leases
-// expire then, but the whole site continues to serve the older revision, so the
-// committed change must not be reported as accepted. The response contains the
-// missing site; the operator can repeat the request with the same change id.
+// expire then, but the entire site continues to serve the older revision, so
+// the committed change must not be reported as accepted. The response contains
+// the missing site; the operator can repeat the request with the same change
+// id.
 bool replica::Decide(pending_submission& item) {
   const core::time_point now = clock_.Now();
   const std::vector<std::string> unreachable =
--- a/packages/control/state_machine.cc
+++ b/packages/control/state_machine.cc
@@ -313,8 +313,9 @@
   return result;
 }
 
-// Registers a new process of an instance. The outcome of the claims of its
-// previous process becomes unknown.
+// Registers the current process of an instance; an empty boot id means that the
+// instance has terminated. The outcome of the unfinished claims of its previous
+// process becomes unknown.
 command_result ApplyRegisterInstance(control_state& state,
                                      const command& input) {
   state.boots[input.instance] = input.boot;
