--- a/packages/rollout/step.cc
+++ b/packages/rollout/step.cc
@@ -108,12 +108,12 @@
   }
 }
 
-// Number of tokens that a losing attempt generated in vain. Not counted are the
-// tokens that a losing hedge resumed from the original, and the tokens of a
-// losing original that the winner resumed.
-int64_t WastedTokens(const attempt& lost, const attempt& winner) {
-  return lost.so_far.token_count -
-         (lost.is_hedge ? lost.resumed_tokens : winner.resumed_tokens);
+// Number of tokens that a losing attempt generated and that are discarded. This
+// excludes the tokens that a losing hedge resumed from the original, and the
+// tokens of a losing original that the winner resumed.
+int64_t WastedTokens(const attempt& loser, const attempt& winner) {
+  return loser.so_far.token_count -
+         (loser.is_hedge ? loser.resumed_tokens : winner.resumed_tokens);
 }
 
 bool IsStale(const sample& result, int64_t trainer_version, int64_t bound) {
--- a/packages/rollout/step.h
+++ b/packages/rollout/step.h
@@ -126,7 +126,7 @@
                                  const sample& result, time_point now);
 
 // Records that an attempt ended without a sample. The slot is retried after
-// `pause`.
+// `pause`, unless another attempt of the slot is running.
 void RecordFailed(step_run& step, int64_t slot, uint64_t attempt,
                   time_point now, milliseconds pause);
 
