--- a/packages/settings/node_settings.h
+++ b/packages/settings/node_settings.h
@@ -47,8 +47,8 @@
   // minutes of texts in memory for them. A third of the memory instead cost 8
   // to 10 MB per store.
   size_t OutputBudget() const {
-    constexpr size_t kShare = 64;
-    return static_cast<size_t>(memory_mb) * 1024 * 1024 / kShare;
+    constexpr size_t kMemoryDivisor = 64;
+    return static_cast<size_t>(memory_mb) * 1024 * 1024 / kMemoryDivisor;
   }
 
   // Number of replicas of a data group: a majority remains after the tolerated
--- a/packages/settings/yaml_document.cc
+++ b/packages/settings/yaml_document.cc
@@ -264,7 +264,7 @@
 value_tree ParseDocument(const std::string& file, const std::string& text,
                          const std::vector<setting_info>& schema,
                          std::vector<core::finding>& findings) {
-  // Aliases let a few hundred bytes stand for gigabytes; no setting needs them.
+  // Aliases let a few hundred bytes expand to gigabytes; no setting needs them.
   try {
     const YAML::Node root = YAML::Load(text);
     return document_parser(file, schema, findings).Walk(root);
