--- a/packages/hickoryctl/commands.h
+++ b/packages/hickoryctl/commands.h
@@ -12,7 +12,7 @@
 
 namespace hickorywood::hickoryctl {
 
-// Documented in docs/operations.md.
+// Documented in docs/OPERATIONS.md.
 enum exit_code : int {
   kExitOk = 0,
   kExitFailed = 1,       // the instance rejected the command or failed
