--- a/bench/bench_control.cc
+++ b/bench/bench_control.cc
@@ -185,28 +185,28 @@
 // Announces `count` endpoints periodically, like real endpoints, until `stop`
 // is set.
 void AnnounceMany(cluster& fleet, int count, const std::atomic<bool>& stop) {
-  membership::announcement news;
-  news.kind = membership::endpoint_kind::kEngine;
-  news.name = "model-a";
-  news.site = "north";
-  news.zone = "z1";
-  news.boot = 1;
-  news.lease_ms = 30000;
+  membership::announcement announcement;
+  announcement.kind = membership::endpoint_kind::kEngine;
+  announcement.name = "model-a";
+  announcement.site = "north";
+  announcement.zone = "z1";
+  announcement.boot = 1;
+  announcement.lease_ms = 30000;
   constexpr int kWindow = 64;
   std::vector<std::future<transport::http_response>> answers(kWindow);
   while (!stop) {
     const auto start = steady::now();
-    ++news.seq;
+    ++announcement.seq;
     for (int i = 0; i < count && !stop; ++i) {
-      news.id = "e" + std::to_string(i);
-      news.address = "127.0.0.1:" + std::to_string(1 + i);
-      std::future<transport::http_response>& place =
+      announcement.id = "e" + std::to_string(i);
+      announcement.address = "127.0.0.1:" + std::to_string(1 + i);
+      std::future<transport::http_response>& pending =
           answers[static_cast<size_t>(i % kWindow)];
-      if (place.valid()) place.get();
+      if (pending.valid()) pending.get();
       const std::string& node =
           fleet.Specs()[static_cast<size_t>(i) % fleet.Specs().size()].id;
-      place =
-          fleet.Web().PostLater(fleet.Callers(node), "/v1/announcements", news);
+      pending = fleet.Web().PostLater(fleet.Callers(node), "/v1/announcements",
+                                      announcement);
     }
     // Engines with a lease of 30 s announce themselves every 10 s.
     while (!stop && MillisSince(start) < 10000) {
--- a/bench/bench_entry.cc
+++ b/bench/bench_entry.cc
@@ -61,12 +61,12 @@
 // Sends generations at a fixed rate for `seconds`, independent of the
 // responses.
 load_result OpenLoop(cluster& fleet, double per_second, double seconds) {
-  struct finished {
+  struct load_state {
     std::mutex mutex;
     load_result result;
     int open = 0;
   };
-  const auto state = std::make_shared<finished>();
+  const auto state = std::make_shared<load_state>();
   transport::http_client client;
   client.Start();
   const auto begin = steady::now();
@@ -187,12 +187,12 @@
   double overloaded = 0;
   for (int run = 0; run < 5; ++run) {
     const load_result normal = OpenLoop(fleet, capacity, 3);
-    const load_result over = OpenLoop(fleet, capacity * 1.5, 3);
+    const load_result overload = OpenLoop(fleet, capacity * 1.5, 3);
     at_capacity = normal.completed;
-    overloaded = over.completed;
-    ratios.push_back(over.completed / normal.completed);
-    if (!over.rejection_times.empty()) {
-      refusals.push_back(Percentile(over.rejection_times, 0.99));
+    overloaded = overload.completed;
+    ratios.push_back(overload.completed / normal.completed);
+    if (!overload.rejection_times.empty()) {
+      refusals.push_back(Percentile(overload.rejection_times, 0.99));
     }
   }
   out.Add("overload_capacity_per_s", capacity, "1/s");
--- a/bench/bench_quarantine.cc
+++ b/bench/bench_quarantine.cc
@@ -70,9 +70,9 @@
   const time_point now{std::chrono::hours(1)};
   auto start = std::chrono::steady_clock::now();
   for (int i = 0; i < kRequests; ++i) {
-    for (int end = 0; end < kCrashes; ++end) {
+    for (int crash = 0; crash < kCrashes; ++crash) {
       const std::string incarnation =
-          "i-" + std::to_string(i) + "-" + std::to_string(end);
+          "i-" + std::to_string(i) + "-" + std::to_string(crash);
       quarantine::RecordCrash(
           ledger, {digests[i], "hostile.example", incarnation}, now);
     }
