--- a/tests/unit/consensus/file_storage_test.cc
+++ b/tests/unit/consensus/file_storage_test.cc
@@ -420,8 +420,8 @@
   EXPECT_EQ(LastIndex(state->log), 21U);
 }
 
-// An entry whose data is only on disk counts with its size: otherwise a whole
-// day's entries would be sent as one message.
+// An entry whose data is only on disk counts with its size: otherwise all
+// entries of a day would be sent as one message.
 TEST(RaftLogTest, EntriesOnDiskCountWithTheirSize) {
   raft_log log;
   for (uint64_t index = 1; index <= 4; ++index) {
--- a/tests/unit/consensus/group_test.cc
+++ b/tests/unit/consensus/group_test.cc
@@ -261,7 +261,7 @@
 // Seven instances with a target of three voters. One further instance receives
 // the log, so that it can replace a voter at once; the others wait without the
 // log. They must not all be admitted at once when a voter is missing, since
-// each would receive the whole log.
+// each would receive the entire log.
 TEST(GroupTest, FewInstancesThatWaitGetTheEntries) {
   group_simulation group(7, 25, 3);
   group.Settle(milliseconds(8000));
--- a/tests/unit/control/configuration_lease_test.cc
+++ b/tests/unit/control/configuration_lease_test.cc
@@ -52,10 +52,11 @@
             std::vector<std::string>{"north"});
 }
 
-// A whole site was disconnected and continued to serve the older revision. Two
-// of its three instances are connected again; the third is still disconnected
-// and serves the old revision. A change must not be accepted before the third
-// instance has it too, or before the instance is considered terminated.
+// An entire site was disconnected and continued to serve the older revision.
+// Two of its three instances are connected again; the third is still
+// disconnected and serves the old revision. A change must not be accepted
+// before the third instance has it too, or before the instance is considered
+// terminated.
 TEST(ConfigurationLeaseTest, LastInstanceOfADarkSiteIsWaitedFor) {
   lease_table leases = MakeLeases();
   const std::map<std::string, size_t> sizes = {{"south", 3}};
--- a/tests/unit/core/events_test.cc
+++ b/tests/unit/core/events_test.cc
@@ -32,8 +32,8 @@
   EXPECT_EQ(documented, in_code);
 }
 
-// An event that the catalogue lists must be logged by some source file, because
-// operators rely on it.
+// Every event declared in events.h must be logged by some source file, because
+// operators rely on the documented events.
 TEST(EventsTest, EveryEventIsLoggedSomewhere) {
   std::string sources;
   const std::filesystem::path root = std::string(SOURCE_FOLDER) + "/packages";
