--- a/packages/consensus/log_frames.cc
+++ b/packages/consensus/log_frames.cc
@@ -29,9 +29,9 @@
   return static_cast<uint32_t>(core::Hash64(bytes));
 }
 
-// Whether the file contains only zeros from some sector boundary after the
-// start of the frame to its end: a crash can leave a file extended although the
-// data did not reach the disk.
+// Whether the file contains only zeros from the start of the frame, or from a
+// later sector boundary, to the end of the file. A crash can leave a file
+// extended although the data did not reach the disk.
 bool HasUnwrittenTail(const std::string& content, size_t frame_start) {
   const size_t last_data = content.find_last_not_of('\0');
   const size_t data_end = last_data == std::string::npos ? 0 : last_data + 1;
