--- a/packages/consensus/group_health.cc
+++ b/packages/consensus/group_health.cc
@@ -74,9 +74,9 @@
   if (!state.leader.node.empty()) next_failure_log_ = time_point{};
 }
 
-// Logs an election that timed out without a leader. The first one after the
-// loss of a leader is not logged: it is often just a split vote, or voters that
-// keep their promise to the leader.
+// Logs an election that timed out without a leader. Elections that fail within
+// replace_after of the first failed one are not logged: the cause is often just
+// a split vote, or voters that keep their promise to the leader.
 void group_health_log::LogFailedElection(const raft_state& state,
                                          time_point now) {
   if (now < state.election_deadline) return;
