--- a/packages/control/replica.h
+++ b/packages/control/replica.h
@@ -29,7 +29,9 @@
   // Leadership ended first: this replica doesn't learn whether the command is
   // committed.
   kLost,
-  kHeld,     // a site is unreachable; nothing was proposed
+  // A site is unreachable and nothing was proposed, or the change was committed
+  // but is not in force everywhere yet.
+  kHeld,
   kRefused,  // the change has findings; nothing was proposed
 };
 NLOHMANN_JSON_SERIALIZE_ENUM(proposal_status,
@@ -119,9 +121,10 @@
   // Commits a command and calls `done` with its result.
   void Propose(command input, proposal_callback done);
   // Checks and commits a configuration change. Calls `done` once the change is
-  // in force everywhere.
+  // in force everywhere, or when it is rejected, held or lost.
   void Submit(command input, proposal_callback done);
-  // Grants a configuration lease. Calls `done` when the view has changed or a
+  // Grants a configuration lease. Calls `done` at once if the requester's view
+  // is outdated or `is_first` is set, otherwise when the view has changed or a
   // third of the lease has passed.
   void RenewView(const view_request& request, view_callback done);
 
