--- a/packages/hickoryctl/commands.h
+++ b/packages/hickoryctl/commands.h
@@ -15,10 +15,12 @@
 // Documented in docs/OPERATIONS.md.
 enum exit_code : int {
   kExitOk = 0,
-  kExitFailed = 1,       // the instance rejected the command or failed
-  kExitInvalid = 2,      // findings, or a usage error
-  kExitConflict = 3,     // another change was applied first
-  kExitHeld = 4,         // a site is unreachable; nothing was changed
+  kExitFailed = 1,    // the instance rejected the command or failed
+  kExitInvalid = 2,   // findings, or a usage error
+  kExitConflict = 3,  // another change was applied first
+  // A site is unreachable and nothing was changed, or the change was committed
+  // but is not in force everywhere yet.
+  kExitHeld = 4,
   kExitUnreachable = 5,  // no response; the outcome of the command is unknown
 };
 
