--- a/tests/unit/consensus/file_storage_test.cc
+++ b/tests/unit/consensus/file_storage_test.cc
@@ -35,7 +35,8 @@
     std::ofstream(folder_ + "/log", std::ios::binary | std::ios::trunc)
         << content;
   }
-  // Three writes of one entry each, in term 1.
+  // Three writes of one entry of term 1 each. The replica's stored term
+  // increases from 1 to 3.
   void WriteThreeEntries() {
     file_storage storage(folder_);
     ASSERT_TRUE(storage.Load());
