--- a/tests/unit/consensus/group_simulation.cc
+++ b/tests/unit/consensus/group_simulation.cc
@@ -375,7 +375,7 @@
   for (replica& item : replicas_) item.state.leaving = {node};
 }
 
-bool group_simulation::HealsAndCommits() {
+bool group_simulation::RecoversAndCommits() {
   for (size_t i = 0; i < replicas_.size(); ++i) {
     replicas_[i].is_frozen = false;
     replicas_[i].is_cut_off = false;
--- a/tests/unit/consensus/group_simulation.h
+++ b/tests/unit/consensus/group_simulation.h
@@ -26,7 +26,7 @@
 
   // Removes all faults and runs the group for a while. Returns true if a leader
   // serves and a new entry commits.
-  bool HealsAndCommits();
+  bool RecoversAndCommits();
 
   // The first violated guarantee; empty if there is none so far.
   const std::string& Violation() const { return violation_; }
--- a/tests/unit/consensus/group_test.cc
+++ b/tests/unit/consensus/group_test.cc
@@ -33,7 +33,7 @@
     if (!group.Violation().empty()) RC_FAIL(group.Violation());
   }
   RC_TAG(group.DisksLost() > 0 ? "disks lost" : "no disk lost");
-  const bool makes_progress = group.HealsAndCommits();
+  const bool makes_progress = group.RecoversAndCommits();
   RC_ASSERT(group.Violation().empty());
   RC_TAG(makes_progress ? "makes progress" : "makes no progress");
   RC_ASSERT(makes_progress || group.HasLostTwoDisks());
@@ -81,7 +81,7 @@
   group.Settle(milliseconds(5000));
   EXPECT_EQ(group.Voters(), after);
   EXPECT_EQ(group.Violation(), "");
-  EXPECT_TRUE(group.HealsAndCommits());
+  EXPECT_TRUE(group.RecoversAndCommits());
 }
 
 // One voter is temporarily unreachable, and another voter loses its disk while
@@ -107,7 +107,7 @@
     group.LoseDisk(others[1]);
     group.Start(others[0]);
     group.Start(others[1]);
-    EXPECT_TRUE(group.HealsAndCommits()) << step;
+    EXPECT_TRUE(group.RecoversAndCommits()) << step;
     EXPECT_EQ(group.Violation(), "") << step;
   }
 }
@@ -167,7 +167,7 @@
     group.LoseDisk(wiped);
     group.Start(unreachable);
     group.Start(wiped);
-    EXPECT_TRUE(group.HealsAndCommits()) << step;
+    EXPECT_TRUE(group.RecoversAndCommits()) << step;
     EXPECT_EQ(group.Violation(), "") << step;
   }
 }
@@ -277,7 +277,7 @@
   EXPECT_EQ(group.Voters().size(), 3U);
   EXPECT_NE(group.Voters(), before);
   group.Start(replaced);
-  EXPECT_TRUE(group.HealsAndCommits());
+  EXPECT_TRUE(group.RecoversAndCommits());
   EXPECT_EQ(group.Violation(), "");
 }
 
@@ -323,7 +323,7 @@
   const size_t leader = group.Leader();
   ASSERT_LT(leader, 3U);
   group.LoseTransferMessage(leader);
-  EXPECT_TRUE(group.HealsAndCommits());
+  EXPECT_TRUE(group.RecoversAndCommits());
   EXPECT_EQ(group.Violation(), "");
 }
 
@@ -402,7 +402,7 @@
     group.Settle(milliseconds(3000));
   }
   EXPECT_EQ(group.Violation(), "");
-  EXPECT_TRUE(group.HealsAndCommits());
+  EXPECT_TRUE(group.RecoversAndCommits());
 }
 
 // A killed store loads a long log when it starts. A promise that it gave the
