--- a/packages/controller/call_limits.h
+++ b/packages/controller/call_limits.h
@@ -1,14 +1,14 @@
 #ifndef HICKORYWOOD_CONTROLLER_CALL_LIMITS_H_
 #define HICKORYWOOD_CONTROLLER_CALL_LIMITS_H_
 
-// Time limits for calls from outside on their way to the leader.
+// Time limits of calls from outside that an instance forwards to the leader.
 
 #include <chrono>
 
 namespace hickorywood::controller {
 
 // Callers switch to another instance when they get no response within a second.
-// This limit is shorter, so that they receive an error that says more than
+// This limit is shorter, so that they receive an error with a reason before
 // their own timeout.
 constexpr std::chrono::milliseconds kForwardTimeout{850};
 // Limit of one attempt. It leaves time for a second attempt, at the next
--- a/packages/controller/controller.cc
+++ b/packages/controller/controller.cc
@@ -35,15 +35,15 @@
 // exceed the limit on file descriptors. An endpoint that reuses its connection
 // sends the next heartbeat within this time.
 constexpr std::chrono::seconds kControlIdleTimeout{3};
-// Time that the leadership transfer gets to reach the successor before the
-// listeners close.
+// Time for the leadership transfer to reach the successor before the listeners
+// close.
 constexpr milliseconds kLeadershipTransferTime{300};
 
 constexpr char kGroupName[] = "control";
 // Voters of the control group. Five tolerate the loss of two.
 constexpr size_t kVoters = 5;
 
-weight_load_scheduler_options KeeperOptions(
+weight_load_scheduler_options SchedulerOptions(
     const settings::node_settings& settings) {
   weight_load_scheduler_options options;
   options.holder = settings.id;
@@ -71,8 +71,8 @@
               pool, state),
         stores_caller(pool, {}),
         service(io, runtime, group, state, registry, weights, stores_caller),
-        keeper(io, runtime, group, state, pool, wire, registry, weights,
-               KeeperOptions(node)),
+        load_scheduler(io, runtime, group, state, pool, wire, registry, weights,
+                       SchedulerOptions(node)),
         caller(pool, node.seeds),
         follower(caller, FollowerOptions(node)),
         heartbeats(io, runtime, caller),
@@ -105,15 +105,15 @@
   void Connect() {
     group.on_leadership = [this](bool is_leader) {
       service.OnLeadership(is_leader, follower.View());
-      keeper.Wake();
+      load_scheduler.Wake();
     };
     group.on_applied = [this] {
       service.OnApplied();
-      keeper.Wake();
+      load_scheduler.Wake();
     };
     group.on_failure = [this] { loop.stop(); };
-    service.on_endpoints = [this] { keeper.Wake(); };
-    keeper.on_change = [this] { service.OnWeightsChanged(); };
+    service.on_endpoints = [this] { load_scheduler.Wake(); };
+    load_scheduler.on_change = [this] { service.OnWeightsChanged(); };
     follower.OnChange([this] {
       stores_caller.SetInstances(peering::StoreAddresses(follower.View()));
       group.SetContacts(Contacts());
@@ -167,7 +167,7 @@
   group::group_host group;
   peering::leader_caller stores_caller;
   leader_service service;
-  weight_load_scheduler keeper;
+  weight_load_scheduler load_scheduler;
   peering::leader_caller caller;
   peering::view_follower follower;
   heartbeat_forwarder heartbeats;
@@ -193,7 +193,7 @@
                           settings.seeds.front() == settings.peers_address;
   if (is_founder) impl_->group.Bootstrap();
   impl_->service.Start();
-  impl_->keeper.Start();
+  impl_->load_scheduler.Start();
   impl_->heartbeats.Start();
   asio::co_spawn(impl_->loop, impl_->follower.Run(), asio::detached);
   return true;
--- a/packages/controller/heartbeat_cache.cc
+++ b/packages/controller/heartbeat_cache.cc
@@ -5,8 +5,9 @@
 
 // Without a reply of the leader for this long, this instance may be
 // disconnected and does not acknowledge heartbeats by itself, so that the
-// endpoint switches to another instance. Several times the period of the
-// refreshes, and below the time after which an endpoint is unresponsive.
+// endpoint switches to another instance. The timeout is several times the
+// period of the refreshes, and below the time after which an endpoint is
+// unresponsive.
 constexpr std::chrono::milliseconds kLeaderContactTimeout{1500};
 // After this time without a heartbeat, the endpoint is assumed to report to
 // another instance.
--- a/packages/controller/heartbeat_cache.h
+++ b/packages/controller/heartbeat_cache.h
@@ -4,8 +4,8 @@
 // The heartbeats that the leader accepted through this control instance. A
 // heartbeat that changes nothing but its sequence is acknowledged at once, and
 // the leader receives it in a batch of refreshes: 3,000 endpoints send 2,500
-// heartbeats a second, and forwarding each of them costs the leader one call
-// each. Plain data and functions.
+// heartbeats a second, and forwarding each one separately would cost the leader
+// as many calls. Plain data and functions.
 
 #include <cstdint>
 #include <map>
--- a/packages/controller/heartbeat_forwarder.cc
+++ b/packages/controller/heartbeat_forwarder.cc
@@ -18,7 +18,7 @@
 using peering::envelope;
 
 // Pause between two calls to the leader. It limits them to a hundred a second
-// for any number of heartbeats, and is short against the second that an
+// for any number of heartbeats, and is short compared with the second that an
 // endpoint waits for its response.
 constexpr milliseconds kBatchPeriod{10};
 // The longest time that a refresh waits here. Several such periods fit into the
@@ -26,7 +26,7 @@
 // a delayed refresh.
 constexpr milliseconds kRefreshPeriod{300};
 // Capacity of the queue. A heartbeat beyond it would wait for more than a
-// second, so its endpoint is sent to another instance.
+// second. It is rejected, and its endpoint switches to another instance.
 constexpr size_t kMaxQueuedHeartbeats = 2000;
 
 }  // namespace
--- a/packages/controller/leader_service.cc
+++ b/packages/controller/leader_service.cc
@@ -29,17 +29,19 @@
 using peering::envelope;
 
 constexpr milliseconds kMaintenancePeriod{500};
-// A store that requested no view for this long is removed from the list. Well
-// above the duration of an election, so that a new leader does not remove any.
+// A store that requested no view for this long is removed from the list. The
+// time is well above the duration of an election, so that a new leader does not
+// remove any store.
 constexpr std::chrono::seconds kStoreLifetime{20};
 constexpr milliseconds kRetireTimeout{700};
 // Time in which all followers find a new leader and send it their records of
 // quarantined requests: one round of requests and one call.
 constexpr milliseconds kWarningSyncTime{300};
 
-std::vector<fleet::engine_weights_entry> ListWeights(const weight_table& book) {
+std::vector<fleet::engine_weights_entry> ListWeights(
+    const weight_table& table) {
   std::vector<fleet::engine_weights_entry> list;
-  for (const auto& [incarnation, engine] : book.engines) {
+  for (const auto& [incarnation, engine] : table.engines) {
     for (const auto& [model, version] : engine.versions) {
       list.push_back({incarnation, model, version, engine.loading == model});
     }
@@ -242,7 +244,7 @@
   }
   const bool is_changed = fleet::ApplyHeartbeat(registry_, input, clock_.Now());
   bool is_newer = false;
-  // A heartbeat of an older incarnation says nothing about the weights of the
+  // A heartbeat of an older incarnation does not describe the weights of the
   // newest one.
   const bool is_listed = registry_.endpoints.count(incarnation) != 0;
   for (const fleet::model_version& item : input.models) {
--- a/packages/controller/view_publisher.cc
+++ b/packages/controller/view_publisher.cc
@@ -21,8 +21,8 @@
 // for each follower, it spends at most a tenth of its time on updates, however
 // many endpoints join and leave.
 constexpr milliseconds kGatherTimePerFollower{1};
-// Well below the one or two seconds after which a leaving endpoint must get no
-// new work.
+// Maximum of the gather time: well below the one or two seconds after which a
+// leaving endpoint must get no new work.
 constexpr milliseconds kMaxGatherTime{400};
 
 // Counts a process as a follower while it waits for changes.
@@ -58,7 +58,7 @@
                  RunPublishLoop(lists_, [this] { return UpdateLists(); }),
                  asio::detached);
   asio::co_spawn(loop_,
-                 RunPublishLoop(weights_, [this] { return TellWeights(); }),
+                 RunPublishLoop(weights_, [this] { return UpdateWeights(); }),
                  asio::detached);
 }
 
@@ -66,7 +66,7 @@
   fleet::BeginTerm(log_, term);
   complete_at_ = complete_at;
   UpdateLists();
-  TellWeights();
+  UpdateWeights();
   Wake(lists_);
 }
 
@@ -123,7 +123,7 @@
   return has_endpoints || has_warnings || has_members;
 }
 
-bool view_publisher::TellWeights() {
+bool view_publisher::UpdateWeights() {
   return fleet::UpdateWeights(log_, sources_.weights());
 }
 
--- a/packages/controller/view_publisher.h
+++ b/packages/controller/view_publisher.h
@@ -61,11 +61,11 @@
   boost::asio::awaitable<std::string> Answer(fleet::view_request input);
 
  private:
-  // One kind of changes, and the processes that wait for it.
+  // One kind of changes, and the processes that wait for them.
   struct update_channel {
     bool has_changes = false;
     core::time_point published_at{};
-    // Number of processes that wait for it now. Shared with the waiting
+    // Number of processes that wait for changes now. Shared with the waiting
     // coroutines: at shutdown their frames are destroyed after this object.
     std::shared_ptr<size_t> followers = std::make_shared<size_t>(0);
     net::event changed;
@@ -78,7 +78,7 @@
                                               publish_function publish);
   void ScheduleUpdate(update_channel& channel);
   bool UpdateLists();
-  bool TellWeights();
+  bool UpdateWeights();
   bool HasChangesFor(const fleet::view_request& input) const;
   const std::string& EncodedUpdate(fleet::view_request input);
   void Wake(update_channel& channel);
--- a/packages/controller/weight_load_scheduler.cc
+++ b/packages/controller/weight_load_scheduler.cc
@@ -48,7 +48,7 @@
     asio::io_context& loop, const core::runtime_clock& clock,
     group::group_host& group, const control_state& state,
     net::connection_pool& pool, const fleet::protocol& wire,
-    const fleet::endpoint_registry& registry, weight_table& book,
+    const fleet::endpoint_registry& registry, weight_table& table,
     weight_load_scheduler_options options)
     : loop_(loop),
       clock_(clock),
@@ -57,7 +57,7 @@
       pool_(pool),
       wire_(wire),
       registry_(registry),
-      book_(book),
+      table_(table),
       options_(std::move(options)) {}
 
 void weight_load_scheduler::Start() {
@@ -103,7 +103,7 @@
 void weight_load_scheduler::PlanService(const fleet::service& service) {
   load_plan_input input;
   const std::map<std::string, double> weights =
-      WeightsOf(service.engine.models, book_.demands);
+      WeightsOf(service.engine.models, table_.demands);
   for (const std::string& model : service.engine.models) {
     const auto found = publications_.find(model);
     if (found == publications_.end()) continue;
@@ -130,16 +130,16 @@
     engine.is_usable = !is_loading &&
                        entry.item.state == fleet::endpoint_state::kReady &&
                        (avoid == avoid_until_.end() || avoid->second <= now);
-    if (is_loading) ++input.loads_under_way;
+    if (is_loading) ++input.loads_in_progress;
     input.engines.push_back(engine);
   }
-  for (const planned_load& load : PlanLoads(book_, input)) StartLoad(load);
+  for (const planned_load& load : PlanLoads(table_, input)) StartLoad(load);
 }
 
 void weight_load_scheduler::StartLoad(const planned_load& load) {
   const fleet::endpoint target = registry_.endpoints.at(load.incarnation).item;
   loads_in_progress_.insert(load.incarnation);
-  book_.engines[load.incarnation].loading = load.target.model;
+  table_.engines[load.incarnation].loading = load.target.model;
   if (on_change) on_change();
   asio::co_spawn(
       loop_, Load(load, target),
@@ -156,7 +156,7 @@
                   {"usual_ms", std::to_string(load_time_.count())},
                   {"ms", std::to_string(took.count())}});
         loads_in_progress_.erase(load.incarnation);
-        book_.engines[load.incarnation].loading.clear();
+        table_.engines[load.incarnation].loading.clear();
         if (failure || outcome != load_outcome::kDone) {
           avoid_until_[load.incarnation] = clock_.Now() + kRetryPause;
         }
@@ -175,7 +175,7 @@
   if (!before) co_return load_outcome::kUnreachable;
   RecordReport(load, *before);
   const bool is_done =
-      VersionAt(book_, load.incarnation, load.target.model).value_or(0) >=
+      VersionAt(table_, load.incarnation, load.target.model).value_or(0) >=
       load.target.version;
   if (is_done) co_return load_outcome::kDone;
   if (before->is_busy || !MayOrder()) co_return load_outcome::kRetryLater;
@@ -192,7 +192,7 @@
     const auto after = co_await Report(target);
     if (after) {
       RecordReport(load, *after);
-      if (VersionAt(book_, load.incarnation, load.target.model).value_or(0) >=
+      if (VersionAt(table_, load.incarnation, load.target.model).value_or(0) >=
           load.target.version) {
         const auto took =
             std::chrono::duration_cast<milliseconds>(clock_.Now() - started);
@@ -260,7 +260,7 @@
 void weight_load_scheduler::RecordReport(const planned_load& load,
                                          const fleet::endpoint_report& report) {
   for (const fleet::model_version& item : report.models) {
-    RecordVersion(book_, load.incarnation, item.model, item.version);
+    RecordVersion(table_, load.incarnation, item.model, item.version);
   }
 }
 
--- a/packages/controller/weight_load_scheduler.h
+++ b/packages/controller/weight_load_scheduler.h
@@ -41,7 +41,7 @@
                         group::group_host& group, const control_state& state,
                         net::connection_pool& pool, const fleet::protocol& wire,
                         const fleet::endpoint_registry& registry,
-                        weight_table& book,
+                        weight_table& table,
                         weight_load_scheduler_options options);
 
   void Start();
@@ -78,7 +78,7 @@
   net::connection_pool& pool_;
   const fleet::protocol& wire_;
   const fleet::endpoint_registry& registry_;
-  weight_table& book_;
+  weight_table& table_;
   const weight_load_scheduler_options options_;
   net::event wake_;
   std::set<std::string> loads_in_progress_;  // by incarnation
--- a/packages/controller/weight_table.cc
+++ b/packages/controller/weight_table.cc
@@ -20,9 +20,9 @@
 }
 
 // Number of planned loads in a period, relative to the capacity of the loader.
-// Above 1, because a model on few engines suffers more when one of them crashes
-// or becomes slow than a model with some engines that are updated late (score
-// of three trainers on nine engines 0.59 with 1.3, 0.51 with 0.7).
+// The value is above 1 because a model on few engines suffers more when one of
+// them crashes or becomes slow than a model with some engines that are updated
+// late (score of three trainers on nine engines 0.59 with 1.3, 0.51 with 0.7).
 constexpr double kLoaderOvercommit = 1.3;
 // Fewest engines on which a model is kept up to date: one loads while the other
 // one serves.
@@ -30,9 +30,10 @@
 // Lowest weight of a model, relative to a mean of 1.
 constexpr double kMinWeight = 0.4;
 
-size_t AssignmentsOf(const weight_table& book, const std::string& incarnation) {
+size_t AssignmentsOf(const weight_table& table,
+                     const std::string& incarnation) {
   size_t count = 0;
-  for (const auto& item : book.assigned) {
+  for (const auto& item : table.assigned) {
     count += item.second.count(incarnation);
   }
   return count;
@@ -46,13 +47,14 @@
 }
 
 // Removes the engine with the oldest version from a chosen set.
-void RemoveMostOutdated(const weight_table& book, std::set<std::string>& chosen,
+void RemoveMostOutdated(const weight_table& table,
+                        std::set<std::string>& chosen,
                         const std::string& model) {
   const auto worst =
       std::min_element(chosen.begin(), chosen.end(),
                        [&](const std::string& left, const std::string& right) {
-                         return VersionAt(book, left, model).value_or(0) <
-                                VersionAt(book, right, model).value_or(0);
+                         return VersionAt(table, left, model).value_or(0) <
+                                VersionAt(table, right, model).value_or(0);
                        });
   chosen.erase(worst);
 }
@@ -60,21 +62,22 @@
 // Updates the set of engines that are assigned to a model. It adds engines that
 // have the fewest models assigned, and among these the ones with the newest
 // version.
-void Assign(weight_table& book, const load_plan_input& input,
+void Assign(weight_table& table, const load_plan_input& input,
             const std::string& model) {
-  std::set<std::string>& chosen = book.assigned[model];
+  std::set<std::string>& chosen = table.assigned[model];
   std::erase_if(chosen, [&](const std::string& incarnation) {
     return !IsListed(input, incarnation);
   });
   const plannable_model& terms = input.models.at(model);
   const size_t wanted = EnginesPerModel(input, terms.period, terms.weight);
-  while (chosen.size() > wanted) RemoveMostOutdated(book, chosen, model);
+  while (chosen.size() > wanted) RemoveMostOutdated(table, chosen, model);
   while (chosen.size() < wanted) {
     const plannable_engine* best = nullptr;
     const auto rank = [&](const plannable_engine& engine) {
       const uint64_t version =
-          VersionAt(book, engine.incarnation, model).value_or(0);
-      return std::make_tuple(AssignmentsOf(book, engine.incarnation), ~version);
+          VersionAt(table, engine.incarnation, model).value_or(0);
+      return std::make_tuple(AssignmentsOf(table, engine.incarnation),
+                             ~version);
     };
     for (const plannable_engine& engine : input.engines) {
       if (chosen.count(engine.incarnation) != 0) continue;
@@ -99,16 +102,16 @@
 // Returns the loads to all assigned engines that the next step can't use, and
 // to as many of the others as half of the assigned engines need to have the
 // newest version.
-model_need NeedOf(const weight_table& book, const load_plan_input& input,
+model_need NeedOf(const weight_table& table, const load_plan_input& input,
                   const fleet::model_version& newest) {
-  const std::set<std::string>& chosen = book.assigned.at(newest.model);
+  const std::set<std::string>& chosen = table.assigned.at(newest.model);
   model_need need;
   size_t current = 0;
   std::vector<planned_load> optional;
   for (const plannable_engine& engine : input.engines) {
     const uint64_t version =
-        VersionAt(book, engine.incarnation, newest.model).value_or(0);
-    const bool is_loading = IsLoading(book, engine.incarnation, newest.model);
+        VersionAt(table, engine.incarnation, newest.model).value_or(0);
+    const bool is_loading = IsLoading(table, engine.incarnation, newest.model);
     const bool is_current = version >= newest.version || is_loading;
     if (is_current || version + 1 >= newest.version) ++need.serviceable;
     if (chosen.count(engine.incarnation) == 0) continue;
@@ -185,43 +188,43 @@
                   std::max(kMinEnginesPerModel, std::min(affordable, doubled)));
 }
 
-bool RecordVersion(weight_table& book, const std::string& incarnation,
+bool RecordVersion(weight_table& table, const std::string& incarnation,
                    const std::string& model, uint64_t version) {
-  uint64_t& recorded = book.engines[incarnation].versions[model];
+  uint64_t& recorded = table.engines[incarnation].versions[model];
   const bool is_newer = version > recorded;
   recorded = std::max(recorded, version);
   return is_newer;
 }
 
-std::optional<uint64_t> VersionAt(const weight_table& book,
+std::optional<uint64_t> VersionAt(const weight_table& table,
                                   const std::string& incarnation,
                                   const std::string& model) {
-  const auto engine = book.engines.find(incarnation);
-  if (engine == book.engines.end()) return std::nullopt;
+  const auto engine = table.engines.find(incarnation);
+  if (engine == table.engines.end()) return std::nullopt;
   const auto found = engine->second.versions.find(model);
   if (found == engine->second.versions.end()) return std::nullopt;
   return found->second;
 }
 
-bool IsLoading(const weight_table& book, const std::string& incarnation,
+bool IsLoading(const weight_table& table, const std::string& incarnation,
                const std::string& model) {
-  const auto engine = book.engines.find(incarnation);
-  return engine != book.engines.end() && engine->second.loading == model;
+  const auto engine = table.engines.find(incarnation);
+  return engine != table.engines.end() && engine->second.loading == model;
 }
 
-std::vector<planned_load> PlanLoads(weight_table& book,
+std::vector<planned_load> PlanLoads(weight_table& table,
                                     const load_plan_input& input) {
   std::vector<model_need> needs;
   for (const auto& [model, terms] : input.models) {
-    Assign(book, input, model);
-    needs.push_back(NeedOf(book, input, {model, terms.newest}));
+    Assign(table, input, model);
+    needs.push_back(NeedOf(table, input, {model, terms.newest}));
     needs.back().weight = terms.weight;
   }
   std::vector<planned_load> plan;
   std::set<std::string> planned_engines;
   const size_t limit = MaxConcurrentLoads(input.engines.size());
   const auto has_room = [&] {
-    return input.loads_under_way + plan.size() < limit;
+    return input.loads_in_progress + plan.size() < limit;
   };
   // Plans one load at a time for the model with the lowest supply, so that the
   // models take turns when the loader is overloaded.
--- a/packages/controller/weight_table.h
+++ b/packages/controller/weight_table.h
@@ -35,15 +35,15 @@
 // Records a version that an engine reported. A version never decreases within
 // one incarnation, so a lower one comes from an older report. Returns true when
 // the version is higher than the recorded one.
-bool RecordVersion(weight_table& book, const std::string& incarnation,
+bool RecordVersion(weight_table& table, const std::string& incarnation,
                    const std::string& model, uint64_t version);
 
 // The version of a model at an engine; empty: none was reported.
-std::optional<uint64_t> VersionAt(const weight_table& book,
+std::optional<uint64_t> VersionAt(const weight_table& table,
                                   const std::string& incarnation,
                                   const std::string& model);
 
-bool IsLoading(const weight_table& book, const std::string& incarnation,
+bool IsLoading(const weight_table& table, const std::string& incarnation,
                const std::string& model);
 
 // One load that should be ordered now.
@@ -78,15 +78,15 @@
 struct load_plan_input {
   std::vector<plannable_engine> engines;          // of one service
   std::map<std::string, plannable_model> models;  // served by the engines
-  size_t loads_under_way = 0;                     // not reported as done
+  size_t loads_in_progress = 0;                   // not reported as done
   std::chrono::milliseconds load_time{1000};      // average of one load
 };
 
-// Number of engines on which a model is kept up to date. A new version costs
-// half as many loads, and the loads of all models share the loader: when
-// versions are published faster than it can load them, fewer engines are kept
-// up to date. The limit is twice the share of the model by weight: then the
-// versions of all models cost as many loads as there are engines.
+// Number of engines on which a model is kept up to date. Half of them load each
+// new version, and the loads of all models share the loader: when versions are
+// published faster than it can load them, fewer engines are kept up to date.
+// The limit is twice the share of the model by weight: then the versions of all
+// models cost as many loads as there are engines.
 size_t EnginesPerModel(const load_plan_input& input,
                        std::chrono::milliseconds period, double weight = 1);
 
@@ -96,7 +96,7 @@
 // load this version, the other half the next one, and the half that is not
 // loading serves. When loads have to wait, the model goes first that has the
 // fewest engines that its next step can use, relative to its weight.
-std::vector<planned_load> PlanLoads(weight_table& book,
+std::vector<planned_load> PlanLoads(weight_table& table,
                                     const load_plan_input& input);
 
 }  // namespace hickorywood::controller
--- a/tests/unit/controller/heartbeat_forwarder_test.cc
+++ b/tests/unit/controller/heartbeat_forwarder_test.cc
@@ -131,7 +131,7 @@
 class HeartbeatForwarderTest : public ::testing::Test {
  protected:
   HeartbeatForwarderTest()
-      : pool(loop), caller(pool, {}), relay(loop, clock, caller) {
+      : pool(loop), caller(pool, {}), forwarder(loop, clock, caller) {
     caller.ServeLocally("here",
                         [this](std::string method, std::string payload)
                             -> boost::asio::awaitable<peering::envelope> {
@@ -149,14 +149,14 @@
                           done.payload = core::EncodeBinary(answer);
                           co_return done;
                         });
-    relay.Start();
+    forwarder.Start();
   }
 
   // Sends a heartbeat of each endpoint and waits until all are acknowledged.
   void Report(int endpoints, uint64_t sequence) {
     int answered = 0;
     for (int i = 0; i < endpoints; ++i) {
-      boost::asio::co_spawn(loop, relay.Forward(MakeHeartbeat(i, sequence)),
+      boost::asio::co_spawn(loop, forwarder.Forward(MakeHeartbeat(i, sequence)),
                             [&answered](const std::exception_ptr& /*none*/,
                                         const peering::envelope& answer) {
                               EXPECT_EQ(answer.outcome,
@@ -171,7 +171,7 @@
   core::runtime_clock clock;
   net::connection_pool pool;
   peering::leader_caller caller;
-  heartbeat_forwarder relay;
+  heartbeat_forwarder forwarder;
   size_t calls = 0;
   size_t heartbeats = 0;
   size_t refreshes = 0;
--- a/tests/unit/controller/weight_table_test.cc
+++ b/tests/unit/controller/weight_table_test.cc
@@ -20,21 +20,21 @@
   return input;
 }
 
-void SetAll(weight_table& book, const load_plan_input& input,
+void SetAll(weight_table& table, const load_plan_input& input,
             const std::string& model, uint64_t version) {
   for (const plannable_engine& engine : input.engines) {
-    RecordVersion(book, engine.incarnation, model, version);
+    RecordVersion(table, engine.incarnation, model, version);
   }
 }
 
 // Plans and completes loads until none is left. Returns their number.
-size_t LoadAll(weight_table& book, const load_plan_input& input) {
+size_t LoadAll(weight_table& table, const load_plan_input& input) {
   size_t loads = 0;
   for (;;) {
-    const std::vector<planned_load> plan = PlanLoads(book, input);
+    const std::vector<planned_load> plan = PlanLoads(table, input);
     if (plan.empty()) return loads;
     for (const planned_load& load : plan) {
-      RecordVersion(book, load.incarnation, load.target.model,
+      RecordVersion(table, load.incarnation, load.target.model,
                     load.target.version);
       ++loads;
     }
@@ -42,26 +42,26 @@
 }
 
 TEST(WeightTableTest, VersionsNeverDecrease) {
-  weight_table book;
-  EXPECT_TRUE(RecordVersion(book, "e", "m", 3));
-  EXPECT_FALSE(RecordVersion(book, "e", "m", 2));
-  EXPECT_EQ(VersionAt(book, "e", "m"), 3U);
-  EXPECT_FALSE(VersionAt(book, "e", "other"));
+  weight_table table;
+  EXPECT_TRUE(RecordVersion(table, "e", "m", 3));
+  EXPECT_FALSE(RecordVersion(table, "e", "m", 2));
+  EXPECT_EQ(VersionAt(table, "e", "m"), 3U);
+  EXPECT_FALSE(VersionAt(table, "e", "other"));
 }
 
 // One trainer, nine engines, a version every few seconds; a step accepts the
 // newest version and the previous one. Half of the engines load each version,
 // and every engine always has a version that the next step accepts.
 TEST(WeightTableTest, HalvesTakeTurns) {
-  weight_table book;
+  weight_table table;
   load_plan_input input = Engines(9);
-  SetAll(book, input, "m", 1);
+  SetAll(table, input, "m", 1);
   for (uint64_t version = 2; version < 20; ++version) {
     input.models = {{"m", {version}}};
-    const size_t loads = LoadAll(book, input);
+    const size_t loads = LoadAll(table, input);
     EXPECT_LE(loads, 5U) << version;
     for (const plannable_engine& engine : input.engines) {
-      EXPECT_GE(*VersionAt(book, engine.incarnation, "m") + 1, version);
+      EXPECT_GE(*VersionAt(table, engine.incarnation, "m") + 1, version);
     }
   }
 }
@@ -83,13 +83,13 @@
 // When loads have to wait, the model whose next step can use the fewest engines
 // goes first, independent of its name.
 TEST(WeightTableTest, ModelWithFewestUsableEnginesGoesFirst) {
-  weight_table book;
+  weight_table table;
   load_plan_input input = Engines(9);
   input.models = {{"a", {5}}, {"b", {5}}};
-  SetAll(book, input, "a", 4);
-  SetAll(book, input, "b", 3);
-  RecordVersion(book, "e0", "a", 3);
-  const std::vector<planned_load> plan = PlanLoads(book, input);
+  SetAll(table, input, "a", 4);
+  SetAll(table, input, "b", 3);
+  RecordVersion(table, "e0", "a", 3);
+  const std::vector<planned_load> plan = PlanLoads(table, input);
   ASSERT_EQ(plan.size(), 2U);
   EXPECT_EQ(plan[0].target.model, "b");
   EXPECT_EQ(plan[1].target.model, "b");
@@ -100,14 +100,14 @@
 // one model waited for 11 s while the others, whose names sort first, were
 // updated twice.
 TEST(WeightTableTest, ModelsTakeTurnsWhenAllAreOutdated) {
-  weight_table book;
+  weight_table table;
   load_plan_input input = Engines(9);
   input.models = {{"a", {5}}, {"b", {5}}, {"c", {5}}};
-  for (const char* model : {"a", "b", "c"}) SetAll(book, input, model, 3);
+  for (const char* model : {"a", "b", "c"}) SetAll(table, input, model, 3);
   std::vector<std::string> order;
   while (order.size() < 6) {
-    for (const planned_load& load : PlanLoads(book, input)) {
-      RecordVersion(book, load.incarnation, load.target.model, 5);
+    for (const planned_load& load : PlanLoads(table, input)) {
+      RecordVersion(table, load.incarnation, load.target.model, 5);
       order.push_back(load.target.model);
     }
   }
@@ -119,38 +119,38 @@
 // on six of nine engines, so that a version costs three loads, a third of the
 // engines.
 TEST(WeightTableTest, ModelsShareTheEngines) {
-  weight_table book;
+  weight_table table;
   load_plan_input input = Engines(9);
-  for (const char* model : {"a", "b", "c"}) SetAll(book, input, model, 1);
+  for (const char* model : {"a", "b", "c"}) SetAll(table, input, model, 1);
   size_t loads = 0;
   constexpr uint64_t kVersions = 12;
   for (uint64_t version = 2; version < 2 + kVersions; ++version) {
     input.models = {{"a", {version}}, {"b", {version}}, {"c", {version}}};
     for (auto& item : input.models) item.second.period = milliseconds(60000);
-    loads += LoadAll(book, input);
+    loads += LoadAll(table, input);
   }
   EXPECT_LE(loads, 3 * 3 * kVersions + 9);
-  for (const auto& item : book.assigned) EXPECT_EQ(item.second.size(), 6U);
+  for (const auto& item : table.assigned) EXPECT_EQ(item.second.size(), 6U);
 }
 
 // One model has four times the work of the other, and the loader is overloaded.
 // The engines are shared by demand, and the small model keeps enough engines
 // for a crash.
 TEST(WeightTableTest, LoadsFollowTheDemand) {
-  weight_table book;
+  weight_table table;
   load_plan_input input = Engines(12);
   const auto weights =
       WeightsOf({"large", "small"}, {{"large", 32}, {"small", 8}});
-  SetAll(book, input, "large", 3);
-  SetAll(book, input, "small", 3);
+  SetAll(table, input, "large", 3);
+  SetAll(table, input, "small", 3);
   for (const auto& [model, weight] : weights) {
     input.models[model].newest = 5;
     input.models[model].weight = weight;
   }
   std::map<std::string, size_t> loads;
   while (loads["large"] + loads["small"] < 8) {
-    for (const planned_load& load : PlanLoads(book, input)) {
-      RecordVersion(book, load.incarnation, load.target.model, 5);
+    for (const planned_load& load : PlanLoads(table, input)) {
+      RecordVersion(table, load.incarnation, load.target.model, 5);
       ++loads[load.target.model];
     }
   }
@@ -179,33 +179,33 @@
 // Loads share the link to the weight store: few run at once, and each engine
 // has at most one.
 TEST(WeightTableTest, FewLoadsAtOnce) {
-  weight_table book;
+  weight_table table;
   load_plan_input input = Engines(9);
   input.models = {{"a", {9}}, {"b", {9}}};
-  EXPECT_EQ(PlanLoads(book, input).size(), 2U);
-  input.loads_under_way = 1;
-  EXPECT_EQ(PlanLoads(book, input).size(), 1U);
-  input.loads_under_way = 2;
-  EXPECT_TRUE(PlanLoads(book, input).empty());
+  EXPECT_EQ(PlanLoads(table, input).size(), 2U);
+  input.loads_in_progress = 1;
+  EXPECT_EQ(PlanLoads(table, input).size(), 1U);
+  input.loads_in_progress = 2;
+  EXPECT_TRUE(PlanLoads(table, input).empty());
   load_plan_input large = Engines(48);
   large.models = {{"a", {9}}};
-  EXPECT_EQ(PlanLoads(book, large).size(), 10U);
+  EXPECT_EQ(PlanLoads(table, large).size(), 10U);
 }
 
 // An engine terminates and a new one joins. The others keep their models, and
 // the new one takes over the free assignments.
-TEST(WeightTableTest, LostEngineIsReplaced) {
-  weight_table book;
+TEST(WeightTableTest, TerminatedEngineIsReplaced) {
+  weight_table table;
   load_plan_input input = Engines(9);
   input.models = {{"a", {2}}, {"b", {2}}, {"c", {2}}};
-  LoadAll(book, input);
-  const auto before = book.assigned;
+  LoadAll(table, input);
+  const auto before = table.assigned;
   input.engines[0].incarnation = "fresh";
-  LoadAll(book, input);
+  LoadAll(table, input);
   for (const auto& [model, engines] : before) {
     size_t kept = 0;
     for (const std::string& name : engines) {
-      kept += book.assigned.at(model).count(name);
+      kept += table.assigned.at(model).count(name);
     }
     EXPECT_EQ(kept, engines.size() - engines.count("e0")) << model;
   }
