--- a/packages/fleet/endpoint_registry.h
+++ b/packages/fleet/endpoint_registry.h
@@ -137,7 +137,7 @@
 bool ApplyHeartbeat(endpoint_registry& registry, const heartbeat& input,
                     core::time_point now);
 
-// Applies a refresh like the heartbeat that it stands for. Returns false when
+// Applies a refresh like the heartbeat that it replaces. Returns false when
 // the complete heartbeat is needed: there is no such endpoint, or it was
 // unresponsive.
 bool ApplyRefresh(endpoint_registry& registry, const heartbeat_refresh& input,
@@ -152,8 +152,8 @@
 // when the list changed.
 bool ExpireEndpoints(endpoint_registry& registry, core::time_point now);
 
-// Fills an empty registry from the list of a view. The time of their last
-// heartbeat is set to `now`.
+// Adds the endpoints of a view to a registry without endpoints. The time of the
+// last heartbeat of each endpoint is set to `now`.
 void AdoptEndpoints(endpoint_registry& registry,
                     const std::vector<endpoint>& endpoints,
                     core::time_point now);
--- a/packages/fleet/view_log.cc
+++ b/packages/fleet/view_log.cc
@@ -6,9 +6,9 @@
 namespace hickorywood::fleet {
 namespace {
 
-// Number of removals that are recorded, for endpoints and for warnings each:
-// more than a deployment has while a polling process misses responses, and a
-// few hundred KB.
+// Number of removals that are recorded, for endpoints and for warnings each. A
+// deployment has fewer removals while a polling process misses responses, and
+// the records take a few hundred KB.
 constexpr size_t kMaxRemovals = 4096;
 
 bool SameWeights(const engine_weights_entry& left,
