--- a/packages/group/group_host.cc
+++ b/packages/group/group_host.cc
@@ -94,8 +94,8 @@
 
 std::set<std::string> group_host::Applicants() const {
   std::set<std::string> nodes;
-  for (const auto& [node, asked_at] : applicants_) {
-    if (clock_.Now() - asked_at < kApplicantLifetime) nodes.insert(node);
+  for (const auto& [node, requested_at] : applicants_) {
+    if (clock_.Now() - requested_at < kApplicantLifetime) nodes.insert(node);
   }
   return nodes;
 }
