--- a/packages/peering/leader_caller.cc
+++ b/packages/peering/leader_caller.cc
@@ -19,9 +19,10 @@
 // a tight loop would load the instances that conduct it.
 constexpr milliseconds kRetryPause{40};
 
-// A report of a crash is sent for as long as the request may arrive again;
-// after that its sender starts again. One attempt is well below the time in
-// which all instances must have the report.
+// Time limit of sending an update: the request that crashed an endpoint may
+// arrive again for as long. After a failure the caller queues the update again.
+// One attempt takes much less than the time within which all instances must
+// have the report.
 constexpr milliseconds kCrashUpdateTimeout{5000};
 constexpr milliseconds kCrashUpdateAttemptTimeout{500};
 
--- a/packages/peering/messages.h
+++ b/packages/peering/messages.h
@@ -22,8 +22,9 @@
 constexpr char kPeerPathPrefix[] = "/peer/v1/";
 
 // The methods of the peer API. Any instance of the group accepts them, but only
-// the leader executes them: the control leader the first ones, the data leader
-// those about steps and runs.
+// the leader executes them: the data leader those about steps and runs, the
+// control leader the ones before them, and both leaders those about the
+// retirement of a store. Every replica handles consensus messages.
 constexpr char kConsensusMethod[] = "consensus";
 constexpr char kViewMethod[] = "view";
 constexpr char kHeartbeatsMethod[] = "heartbeats";
