--- a/packages/hickoryd/api_reply.h
+++ b/packages/hickoryd/api_reply.h
@@ -26,18 +26,19 @@
                const std::string& body);
 
 // Sends a failure: body {"outcome", "reason", "retry_after_ms"}, header
-// Hickory-Outcome and, where a retry helps, Retry-After in whole seconds.
+// Hickory-Outcome and, where a retry helps, Retry-After in seconds.
 void ReplyFailure(const exchange_ptr& exchange, int status,
                   request_outcome outcome, const std::string& reason,
                   core::milliseconds retry_after);
 
-// Sends the response to a step request, with the same headers as any failure.
+// Sends the response to a step request. A failure has the same headers as those
+// of ReplyFailure().
 void ReplyStep(const exchange_ptr& exchange, const step_reply& reply);
 
 // Rejects malformed input: status 400, "not_run".
 void ReplyInvalid(const exchange_ptr& exchange, const std::string& reason);
 
-// The value of Retry-After for `time`: whole seconds, rounded up.
+// The value of Retry-After for `time`: in seconds, rounded up.
 std::string RetryAfterSeconds(core::milliseconds time);
 
 // Runs `work` on `loop`; responds "not run" when its queue is full.
--- a/packages/hickoryd/body_holder.cc
+++ b/packages/hickoryd/body_holder.cc
@@ -10,7 +10,7 @@
 constexpr core::milliseconds kCopyTimeout{2000};
 constexpr core::milliseconds kFetchTimeout{1000};
 constexpr core::milliseconds kSweepPeriod{10000};
-// As long as the control state keeps a step.
+// The control state retains a step for the same time.
 constexpr core::milliseconds kIdleTime = std::chrono::hours(6);
 
 }  // namespace
@@ -72,9 +72,9 @@
   context_.links.Call(
       peer, kStorePath, core::Encode(bodies), kCopyTimeout,
       [this, done = std::move(done)](const transport::http_response& response) {
-        const bool is_held = response.how == transport::delivery::kAnswered &&
-                             response.status == 200;
-        context_.traffic.Post([done, is_held] { done(is_held); });
+        const bool is_stored = response.how == transport::delivery::kAnswered &&
+                               response.status == 200;
+        context_.traffic.Post([done, is_stored] { done(is_stored); });
       });
 }
 
@@ -94,7 +94,7 @@
 }
 
 std::string body_holder::ChooseBackup(const std::string& seed) const {
-  const auto view = context_.board.Get();
+  const auto view = context_.view_holder.Get();
   const core::time_point now = context_.clock.Now();
   std::string best;
   uint64_t best_score = 0;
--- a/packages/hickoryd/call_quarantine.cc
+++ b/packages/hickoryd/call_quarantine.cc
@@ -38,8 +38,8 @@
 // Limit of the reports queued for one instance, about 100 KB, and of the
 // requests with unconfirmed crashes.
 constexpr size_t kMaxReports = 1024;
-// Limit of the requests that one crash is attributed to. More than an endpoint
-// runs at once.
+// Limit of the requests that one crash is attributed to. An endpoint runs fewer
+// requests at once.
 constexpr size_t kMaxRunningRequests = 256;
 // Without a peer token there is no secret between instances, and a digest only
 // has to identify a request.
@@ -67,11 +67,11 @@
   if (list.size() > kMaxReports) list.resize(kMaxReports);
 }
 
-void Append(quarantine_update& news, const quarantine_update& more) {
-  Append(news.seen.reports, more.seen.reports);
-  Append(news.seen.served, more.seen.served);
-  Append(news.doubts, more.doubts);
-  news.wants_all = news.wants_all || more.wants_all;
+void Append(quarantine_update& update, const quarantine_update& more) {
+  Append(update.seen.reports, more.seen.reports);
+  Append(update.seen.served, more.seen.served);
+  Append(update.doubts, more.doubts);
+  update.wants_all = update.wants_all || more.wants_all;
 }
 
 }  // namespace
@@ -134,9 +134,9 @@
                                               IncarnationOf(target)};
   if (!Watch(suspected_request, target)) return;
   AddUnconfirmed(suspected_request);
-  quarantine_update news;
-  news.doubts = {suspected_request};
-  QueueForAll(news);
+  quarantine_update update;
+  update.doubts = {suspected_request};
+  QueueForAll(update);
 }
 
 void call_quarantine::RecordAbandoned(const quarantine::request_identity& input,
@@ -165,7 +165,7 @@
 bool call_quarantine::Watch(const fleet::crash_report& suspected_request,
                             const membership::announcement& target) {
   const core::time_point now = context_.clock.Now();
-  const auto view = context_.board.Get();
+  const auto view = context_.view_holder.Get();
   if (FindListed(*view, target.id) == nullptr) return false;
   broken_endpoint& entry = broken_endpoints_[suspected_request.incarnation];
   if (entry.probes_left == 0) {
@@ -195,7 +195,7 @@
   ExpireUnconfirmedCrashes();
   if (broken_endpoints_.empty()) return;
   const core::time_point now = context_.clock.Now();
-  const auto view = context_.board.Get();
+  const auto view = context_.view_holder.Get();
   std::vector<std::string> ended;
   for (auto& [incarnation, entry] : broken_endpoints_) {
     const membership::announcement* const listed =
@@ -246,10 +246,10 @@
 void call_quarantine::OnCrashConfirmed(const std::string& incarnation) {
   const auto found = broken_endpoints_.find(incarnation);
   if (found == broken_endpoints_.end()) return;
-  quarantine_update news;
-  news.seen.reports = std::move(found->second.running_requests);
+  quarantine_update update;
+  update.seen.reports = std::move(found->second.running_requests);
   broken_endpoints_.erase(found);
-  for (const fleet::crash_report& report : news.seen.reports) {
+  for (const fleet::crash_report& report : update.seen.reports) {
     LogEvent(event_id::kEndpointCrashedUnderRequest,
              {{"digest", report.digest},
               {"customer", report.customer},
@@ -258,7 +258,7 @@
         ledger_,
         quarantine::RecordCrash(ledger_, report, context_.clock.Now()));
   }
-  QueueForAll(news);
+  QueueForAll(update);
 }
 
 void call_quarantine::RecordServed(const quarantine::request_identity& input) {
@@ -266,12 +266,12 @@
       !unconfirmed_.empty() ||
       quarantine::MayMatchSuspect(ledger_, key_, input);
   if (!may_have_crashes) return;
-  quarantine_update news;
+  quarantine_update update;
   const std::string digest = quarantine::DigestOf(key_, input);
   if (CrashesOf(digest).empty()) return;
-  news.seen.served = {digest};
+  update.seen.served = {digest};
   ApplyServed(digest);
-  QueueForAll(news);
+  QueueForAll(update);
 }
 
 void call_quarantine::ApplyServed(const std::string& digest) {
@@ -290,8 +290,8 @@
 // Each instance reports only the crashes that it detected itself. It passes
 // received reports on only to instances that start: if they were relayed
 // further, old crashes would never expire.
-void call_quarantine::QueueForAll(const quarantine_update& news) {
-  for (auto& [peer, box] : outboxes_) Append(box.next, news);
+void call_quarantine::QueueForAll(const quarantine_update& update) {
+  for (auto& [peer, box] : outboxes_) Append(box.next, update);
   SendQueuedUpdates();
 }
 
--- a/packages/hickoryd/call_quarantine.h
+++ b/packages/hickoryd/call_quarantine.h
@@ -103,7 +103,7 @@
                          const transport::http_response& response);
   void OnCrashConfirmed(const std::string& incarnation);
   void ApplyServed(const std::string& digest);
-  void QueueForAll(const quarantine_update& news);
+  void QueueForAll(const quarantine_update& update);
   void SendQueuedUpdates();
   void SendUpdate(const std::string& peer);
   void HandleUpdateReply(const std::string& peer,
--- a/packages/hickoryd/call_service.cc
+++ b/packages/hickoryd/call_service.cc
@@ -107,7 +107,7 @@
   running->done = std::move(done);
   ++active_;
   const core::time_point now = context_.clock.Now();
-  const auto view = context_.board.Get();
+  const auto view = context_.view_holder.Get();
   if (!MayServe(*view, now)) {
     Refuse(running, kStatusUnavailable,
            "this instance has no valid configuration lease", kRetryAfter);
@@ -135,17 +135,17 @@
 }
 
 void call_service::Claim(const call_ptr& call) {
-  const service_call& asked = call->call;
+  const service_call& request = call->call;
   call->nonce = core::RandomId();
-  call->claim_key = asked.service + "/" + asked.idempotency_key;
+  call->claim_key = request.service + "/" + request.idempotency_key;
   control::command input;
   input.kind = control::command_kind::kClaim;
   input.instance = context_.settings.id;
   input.boot = context_.boot;
   input.claim_key = call->claim_key;
   input.nonce = call->nonce;
-  input.request_digest =
-      core::DigestHex(asked.method + '\n' + asked.target + '\n' + asked.body);
+  input.request_digest = core::DigestHex(request.method + '\n' +
+                                         request.target + '\n' + request.body);
   const bool is_queued = leader_.Propose(
       input, kClaimLimit, [this, call](const proposal_answer& answer) {
         context_.traffic.Post(
@@ -220,10 +220,10 @@
     Settle(call, failure);
     return;
   }
-  const quarantine::quarantine_decision verdict =
+  const quarantine::quarantine_decision decision =
       quarantine_.Check(IdentityOf(call->call));
-  if (verdict.state == quarantine::quarantine_state::kQuarantined) {
-    FailAsQuarantined(call, verdict.remaining);
+  if (decision.state == quarantine::quarantine_state::kQuarantined) {
+    FailAsQuarantined(call, decision.remaining);
     return;
   }
   const std::optional<membership::announcement> chosen = Choose(call);
@@ -255,7 +255,7 @@
 std::optional<membership::announcement> call_service::Choose(
     const call_ptr& call) {
   const core::time_point now = context_.clock.Now();
-  const auto view = context_.board.Get();
+  const auto view = context_.view_holder.Get();
   const auto endpoints = view->services.find(call->call.service);
   if (endpoints == view->services.end()) return std::nullopt;
   std::vector<routing::candidate> candidates;
@@ -319,7 +319,7 @@
   request.total_timeout = AttemptTimeout(*call);
   request.is_single_shot = call->kind != repeatability::kIdempotent;
   request.needs_fresh_connection = routing::NeedsNewConnection(
-      suspicion_, endpoint.id, context_.clock.Now());
+      stale_connections_, endpoint.id, context_.clock.Now());
   context_.client.Send(
       std::move(request), [this, call](const http_response& response) {
         context_.traffic.Post(
@@ -331,7 +331,8 @@
                                   const http_response& response) {
   --stats_[call->endpoint.id].outstanding;
   if (response.is_timeout) {
-    routing::RecordTimeout(suspicion_, call->endpoint.id, context_.clock.Now());
+    routing::RecordTimeout(stale_connections_, call->endpoint.id,
+                           context_.clock.Now());
   }
   if (ReportsNotRun(response)) {
     HandleFailure(call, response,
@@ -375,7 +376,7 @@
                                  const std::string& reason) {
   const core::time_point now = context_.clock.Now();
   explain_.Add(call->call.id, call->endpoint.id + " failed: " + reason);
-  const auto view = context_.board.Get();
+  const auto view = context_.view_holder.Get();
   std::vector<std::string> ids;
   const auto endpoints = view->services.find(call->call.service);
   if (endpoints != view->services.end()) {
--- a/packages/hickoryd/call_service.h
+++ b/packages/hickoryd/call_service.h
@@ -98,7 +98,7 @@
   call_quarantine& quarantine_;
   routing::choice_state choice_;
   routing::stats_table stats_;
-  routing::stale_connections suspicion_;                  // by endpoint
+  routing::stale_connections stale_connections_;          // by endpoint
   std::map<std::string, routing::retry_budget> budgets_;  // by service
   size_t active_ = 0;
 };
--- a/packages/hickoryd/caller_api.cc
+++ b/packages/hickoryd/caller_api.cc
@@ -122,8 +122,8 @@
                  "traffic_queue",
                  static_cast<double>(parts_.context.traffic.Depth()));
              parts_.context.counters.SetGauge(
-                 "revision",
-                 static_cast<double>(parts_.context.board.Get()->revision));
+                 "revision", static_cast<double>(
+                                 parts_.context.view_holder.Get()->revision));
              exchange->Reply(200, {}, "text/plain; version=0.0.4",
                              parts_.context.counters.Text());
            });
@@ -237,7 +237,7 @@
                               service = call.service,
                               arrived_at](const service_answer& answer) {
       const auto took = parts_.context.clock.Now() - arrived_at;
-      const auto view = parts_.context.board.Get();
+      const auto view = parts_.context.view_holder.Get();
       const milliseconds objective =
           view->config ? view->config->objectives.acknowledgement_time
                        : milliseconds(0);
@@ -384,7 +384,7 @@
                                 const std::string& pool) {
   const auto body = DecodeBody<weights_body>(exchange);
   if (!body) return;
-  const auto view = parts_.context.board.Get();
+  const auto view = parts_.context.view_holder.Get();
   // The pools are unknown before the first view.
   if (!view->config) {
     ReplyFailure(exchange, 503, request_outcome::kNotRun,
--- a/packages/hickoryd/context.h
+++ b/packages/hickoryd/context.h
@@ -24,7 +24,7 @@
   core::event_loop& traffic;  // owns active requests and steps
   transport::http_client& client;
   peer_links& links;
-  routing_view_holder& board;
+  routing_view_holder& view_holder;
   metrics& counters;
   std::atomic<bool>& is_draining;
 };
--- a/packages/hickoryd/generation_attempt.cc
+++ b/packages/hickoryd/generation_attempt.cc
@@ -94,7 +94,7 @@
   // A busy engine did not run this attempt. Earlier attempts may have run, so
   // the outcome of the request must not become "not run" because of it.
   if (response.how == delivery::kAnswered && IsBusyAnswer(response)) {
-    const auto view = context_.board.Get();
+    const auto view = context_.view_holder.Get();
     const settings::pool_config* pool = FindPool(*view, item->request.pool);
     const int64_t limit = pool == nullptr ? 1 : pool->engine_concurrency;
     routing::RecordOverload(stats_[item->engine], limit);
@@ -162,7 +162,7 @@
     item.was_maybe_sent = true;
     FinishAttempt(item);
   }
-  const auto view = context_.board.Get();
+  const auto view = context_.view_holder.Get();
   if (is_engine_fault && view->config) {
     const settings::routing_config& routing = view->config->routing;
     const routing::ejection_policy ejection{routing.ejection_failures,
@@ -204,14 +204,14 @@
 }
 
 bool generation_service::FailIfQuarantined(generation& item) {
-  const quarantine::quarantine_decision verdict =
+  const quarantine::quarantine_decision decision =
       quarantine_.Check(IdentityOf(item));
-  if (verdict.state != quarantine::quarantine_state::kQuarantined) {
+  if (decision.state != quarantine::quarantine_state::kQuarantined) {
     return false;
   }
   item.was_quarantined = true;
   Fail(item, "engines crashed while running this request; it is held back",
-       verdict.remaining);
+       decision.remaining);
   return true;
 }
 
--- a/packages/hickoryd/generation_service.cc
+++ b/packages/hickoryd/generation_service.cc
@@ -57,30 +57,30 @@
   item->callbacks = std::move(callbacks);
   item->arrived_at = now;
   // Includes the sample number: the samples of one prompt run concurrently, and
-  // without it one crashed engine would count against the prompt once per
+  // without it one crashed engine would be attributed to the prompt once per
   // sample.
   item->target = "/v1/completions#" + std::to_string(item->request.sample);
   const uint64_t id = item->id;
   active_[id] = item;
 
-  const auto view = context_.board.Get();
-  const generation_request& asked = item->request;
+  const auto view = context_.view_holder.Get();
+  const generation_request& submitted = item->request;
   if (!MayServe(*view, now)) {
     Fail(*item, "this instance has no valid configuration lease",
          kNoEngineRetryAfter);
     return id;
   }
-  const settings::pool_config* pool = FindPool(*view, asked.pool);
+  const settings::pool_config* pool = FindPool(*view, submitted.pool);
   if (pool == nullptr) {
-    Fail(*item, "no pool '" + asked.pool + "' at this site",
+    Fail(*item, "no pool '" + submitted.pool + "' at this site",
          core::milliseconds(0));
     return id;
   }
-  pool_state& state = pools_[asked.pool];
+  pool_state& state = pools_[submitted.pool];
   state.budget.share = view->config->routing.retry_budget;
   // The coordinator of a step limits how many of its requests are queued.
   // External callers are rejected as soon as their expected wait is too long.
-  if (asked.kind == routing::traffic_class::kInteractive) {
+  if (submitted.kind == routing::traffic_class::kInteractive) {
     const routing::admission_decision decision = routing::Admit(
         state.rate, state.queue.interactive.size(), pool->queue_wait);
     if (!decision.is_admitted) {
@@ -88,14 +88,14 @@
       return id;
     }
   }
-  const auto trainer = view->config->trainers.find(asked.trainer);
+  const auto trainer = view->config->trainers.find(submitted.trainer);
   if (trainer != view->config->trainers.end()) {
-    routing::SetWeight(state.queue, asked.trainer, trainer->second.weight);
+    routing::SetWeight(state.queue, submitted.trainer, trainer->second.weight);
   }
   item->is_queued = true;
-  routing::Push(state.queue,
-                {id, asked.trainer, asked.kind, asked.max_tokens, now});
-  Pump(asked.pool);
+  routing::Push(state.queue, {id, submitted.trainer, submitted.kind,
+                              submitted.max_tokens, now});
+  Pump(submitted.pool);
   return id;
 }
 
@@ -120,7 +120,7 @@
 std::vector<std::string> generation_service::EngineIds(
     const std::string& pool) const {
   std::vector<std::string> ids;
-  const auto view = context_.board.Get();
+  const auto view = context_.view_holder.Get();
   const settings::pool_config* config = FindPool(*view, pool);
   if (config == nullptr) return ids;
   const auto engines = view->engines.find(config->model);
@@ -132,7 +132,7 @@
 }
 
 int64_t generation_service::Capacity(const std::string& pool) const {
-  const auto view = context_.board.Get();
+  const auto view = context_.view_holder.Get();
   const settings::pool_config* config = FindPool(*view, pool);
   if (config == nullptr) return 0;
   return static_cast<int64_t>(EngineIds(pool).size()) *
@@ -152,7 +152,7 @@
                         latest.version >= item.request.oldest_version;
     routing::endpoint_stats& stats = stats_[latest.id];
     if (!is_fit || !routing::IsAvailable(stats, now)) continue;
-    uint64_t& seen = report_seen_[latest.id];
+    uint64_t& seen = latest_report_seq_[latest.id];
     if (seen != latest.seq) {
       seen = latest.seq;
       stats.outstanding_at_report = stats.outstanding;
@@ -209,7 +209,7 @@
 // False when no engine has room.
 bool generation_service::Dispatch(const std::string& pool, generation& item) {
   if (FailIfQuarantined(item)) return true;
-  const auto view = context_.board.Get();
+  const auto view = context_.view_holder.Get();
   const settings::pool_config* config = FindPool(*view, pool);
   if (config == nullptr) return false;
   std::vector<endpoint_view> endpoints;
@@ -268,7 +268,7 @@
   request.connect_timeout =
       std::min(pool.progress_timeout, core::milliseconds(500));
   request.needs_fresh_connection =
-      routing::NeedsNewConnection(suspicion_, endpoint.latest.id, now);
+      routing::NeedsNewConnection(stale_connections_, endpoint.latest.id, now);
   const uint64_t id = item.id;
   const uint64_t attempt = item.attempt;
   request.on_status = [this, id, attempt](int status) {
@@ -295,7 +295,7 @@
 
 void generation_service::CheckTimers() {
   const core::time_point now = context_.clock.Now();
-  const auto view = context_.board.Get();
+  const auto view = context_.view_holder.Get();
   std::vector<std::shared_ptr<generation>> overdue;
   std::vector<std::shared_ptr<generation>> stalled;
   for (const auto& [id, item] : active_) {
@@ -321,7 +321,7 @@
   }
   for (const auto& item : stalled) {
     if (active_.count(item->id) == 0) continue;
-    routing::RecordTimeout(suspicion_, item->engine, now);
+    routing::RecordTimeout(stale_connections_, item->engine, now);
     HandleFailure(*item, "the engine sent no data within the progress timeout",
                   true);
   }
--- a/packages/hickoryd/generation_service.h
+++ b/packages/hickoryd/generation_service.h
@@ -135,9 +135,9 @@
   const generation_policy policy_;
   routing::choice_state choice_;
   routing::stats_table stats_;
-  routing::stale_connections suspicion_;  // by engine
-  std::map<std::string, uint64_t>
-      report_seen_;  // seq of the latest report, by engine
+  routing::stale_connections stale_connections_;  // by engine
+  // The `seq` of the latest report, by engine.
+  std::map<std::string, uint64_t> latest_report_seq_;
   std::map<std::string, pool_state> pools_;
   std::map<uint64_t, std::shared_ptr<generation>> active_;
   uint64_t next_id_ = 1;
--- a/packages/hickoryd/instance.cc
+++ b/packages/hickoryd/instance.cc
@@ -55,8 +55,8 @@
         control(clock, static_cast<size_t>(settings.control_queue)),
         traffic(clock, kTrafficQueue),
         links(clock, settings, client),
-        context{clock, settings, core::RandomId(), control,    traffic, client,
-                links, board,    counters,         is_draining},
+        context{clock,  settings, core::RandomId(), control,  traffic,
+                client, links,    view_holder,      counters, is_draining},
         explain(clock, settings.id),
         host(settings.IsControl()
                  ? std::make_unique<replica_host>(context, [this] { Fail(); })
@@ -108,7 +108,7 @@
   core::event_loop traffic;
   transport::http_client client;
   peer_links links;
-  routing_view_holder board;
+  routing_view_holder view_holder;
   metrics counters;
   std::atomic<bool> is_draining{false};
   instance_context context;
--- a/packages/hickoryd/leader_client.cc
+++ b/packages/hickoryd/leader_client.cc
@@ -12,7 +12,7 @@
 
 constexpr core::milliseconds kRetryPause{30};
 // Timeout of one attempt of a proposal, so that an unreachable leader does not
-// use up the whole time limit.
+// use up the time limit.
 constexpr core::milliseconds kProposalAttemptTimeout{1000};
 // A submission is answered only once it is in force on all instances, which
 // takes up to a lease time.
@@ -185,30 +185,31 @@
     const control::view_request& request,
     std::function<void(std::optional<control::view_reply>)> done) {
   const std::string target = NextTarget();
-  const auto take = [this, target, done = std::move(done)](
-                        const std::optional<control::view_reply>& reply) {
-    if (reply && reply->is_granted) {
-      leader_ = target;
-    } else {
-      UpdateLeader(target, reply ? reply->leader : "");
-    }
-    done(reply);
-  };
+  const auto handle_reply =
+      [this, target, done = std::move(done)](
+          const std::optional<control::view_reply>& reply) {
+        if (reply && reply->is_granted) {
+          leader_ = target;
+        } else {
+          UpdateLeader(target, reply ? reply->leader : "");
+        }
+        done(reply);
+      };
   if (host_ != nullptr && target == context_.settings.id) {
-    host_->Replica().RenewView(request, take);
+    host_->Replica().RenewView(request, handle_reply);
     return;
   }
-  context_.links.Call(target, kViewPath, core::Encode(request),
-                      context_.settings.configuration_lease * 2 / 3,
-                      [this, take](const transport::http_response& response) {
-                        std::optional<control::view_reply> reply;
-                        if (response.how == transport::delivery::kAnswered &&
-                            response.status == 200) {
-                          reply =
-                              core::Decode<control::view_reply>(response.body);
-                        }
-                        context_.control.Post([take, reply] { take(reply); });
-                      });
+  context_.links.Call(
+      target, kViewPath, core::Encode(request),
+      context_.settings.configuration_lease * 2 / 3,
+      [this, handle_reply](const transport::http_response& response) {
+        std::optional<control::view_reply> reply;
+        if (response.how == transport::delivery::kAnswered &&
+            response.status == 200) {
+          reply = core::Decode<control::view_reply>(response.body);
+        }
+        context_.control.Post([handle_reply, reply] { handle_reply(reply); });
+      });
 }
 
 }  // namespace hickorywood::hickoryd
--- a/packages/hickoryd/membership_service.cc
+++ b/packages/hickoryd/membership_service.cc
@@ -198,8 +198,8 @@
 
 // A single instance without a lease must not serve, because the other instances
 // may have a newer revision. When a majority of the site has no lease, the
-// whole site is unreachable. The leader accepts changes only while a majority
-// of each site holds leases, so the last revision is still in force.
+// site is unreachable. The leader accepts changes only while a majority of each
+// site has leases, so the last revision is still in force.
 bool membership_service::IsSiteUnreachable(core::time_point now) const {
   size_t instances = 1;
   size_t without_lease = 1;
@@ -245,7 +245,7 @@
   for (const auto& [id, peer] : exchange_.peers) {
     view->instances[id] = {peer.info, peer.last_contact_at};
   }
-  context_.board.Publish(std::move(view));
+  context_.view_holder.Publish(std::move(view));
 }
 
 }  // namespace hickorywood::hickoryd
--- a/packages/hickoryd/order_service.cc
+++ b/packages/hickoryd/order_service.cc
@@ -35,8 +35,8 @@
   // from a new one. An order that the old leader sent just before its lease
   // expired may still arrive within the send timeout.
   if (now - replica.ElectedAt() < kSendTimeout) return;
-  if (book_.term != replica.Term()) {
-    control::StartOrderTracker(book_, replica.Term(), now);
+  if (tracker_.term != replica.Term()) {
+    control::StartOrderTracker(tracker_, replica.Term(), now);
   }
   if (replica.State().weights.empty()) return;
 
@@ -46,7 +46,7 @@
     AddSite(item.first, now, input);
   }
   for (const control::planned_order& order : control::PlanOrders(
-           book_, input.engines, input.targets, input.limits, now)) {
+           tracker_, input.engines, input.targets, input.limits, now)) {
     Send(order);
   }
 }
@@ -113,27 +113,27 @@
   LogEvent(event_id::kOrderSent, {{"engine", order.engine},
                                   {"version", std::to_string(order.version)},
                                   {"fence", std::to_string(order.fence)}});
-  context_.client.Send(std::move(request),
-                       [this, order](const transport::http_response& response) {
-                         if (response.how == transport::delivery::kAnswered &&
-                             response.status < 300) {
-                           return;
-                         }
-                         context_.control.Post([this, order, response] {
-                           LogEvent(
-                               event_id::kOrderFailed,
-                               {{"engine", order.engine},
-                                {"status", std::to_string(response.status)},
-                                {"error", response.error}});
-                           // An order that may have arrived stays open until
-                           // the engine reports or the order times out.
-                           const bool is_known_not_sent =
-                               response.how != transport::delivery::kMaybeSent;
-                           if (is_known_not_sent) {
-                             control::RecordOrderFailure(book_, order.engine);
-                           }
-                         });
-                       });
+  context_.client.Send(
+      std::move(request),
+      [this, order](const transport::http_response& response) {
+        if (response.how == transport::delivery::kAnswered &&
+            response.status < 300) {
+          return;
+        }
+        context_.control.Post([this, order, response] {
+          LogEvent(event_id::kOrderFailed,
+                   {{"engine", order.engine},
+                    {"status", std::to_string(response.status)},
+                    {"error", response.error}});
+          // An order that was sent but got no response may be executed. It
+          // stays open until the engine reports or the order times out.
+          const bool is_known_not_executed =
+              response.how != transport::delivery::kMaybeSent;
+          if (is_known_not_executed) {
+            control::RecordOrderFailure(tracker_, order.engine);
+          }
+        });
+      });
 }
 
 }  // namespace hickorywood::hickoryd
--- a/packages/hickoryd/order_service.h
+++ b/packages/hickoryd/order_service.h
@@ -38,7 +38,7 @@
   instance_context& context_;
   replica_host& host_;
   membership_service& membership_;
-  control::order_tracker book_;
+  control::order_tracker tracker_;
   // Parsed once per `configs_revision_` instead of at each plan.
   std::map<std::string, settings::site_config> configs_;
   uint64_t configs_revision_ = 0;
--- a/packages/hickoryd/peer_api.cc
+++ b/packages/hickoryd/peer_api.cc
@@ -168,8 +168,8 @@
     const auto bodies = DecodeBody<held_bodies>(exchange);
     if (!bodies) return;
     RunOn(traffic, exchange, [this, bodies, exchange] {
-      const bool is_held = parts_.bodies.Apply(*bodies);
-      ReplyJson(exchange, is_held ? 200 : 507, "{}");
+      const bool is_stored = parts_.bodies.Apply(*bodies);
+      ReplyJson(exchange, is_stored ? 200 : 507, "{}");
     });
   };
   routes_[body_holder::kFetchPath] = [this,
@@ -183,11 +183,11 @@
   };
   routes_[call_quarantine::kUpdatePath] =
       [this, &traffic](const exchange_ptr& exchange) {
-        const auto news = DecodeBody<quarantine_update>(exchange);
-        if (!news) return;
-        RunOn(traffic, exchange, [this, news, exchange] {
+        const auto update = DecodeBody<quarantine_update>(exchange);
+        if (!update) return;
+        RunOn(traffic, exchange, [this, update, exchange] {
           ReplyJson(exchange, 200,
-                    core::Encode(parts_.quarantine.ApplyUpdate(*news)));
+                    core::Encode(parts_.quarantine.ApplyUpdate(*update)));
         });
       };
   routes_["/peer/v1/pull"] = [this, &traffic](const exchange_ptr& exchange) {
--- a/packages/hickoryd/peer_links.cc
+++ b/packages/hickoryd/peer_links.cc
@@ -10,8 +10,8 @@
 namespace {
 
 // A call with a longer timeout opens its own connection: on a shared connection
-// that has become unresponsive, the failure would be detected only after the
-// whole timeout.
+// that has become unresponsive, the failure would be detected only when the
+// timeout expires.
 constexpr core::milliseconds kMaxSharedConnectionTimeout{2500};
 constexpr char kRpcPath[] = "/peer/v1/rpc";
 
@@ -55,12 +55,12 @@
 
 bool peer_links::NeedsNewConnection(const std::string& peer) const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  return routing::NeedsNewConnection(suspicion_, peer, clock_.Now());
+  return routing::NeedsNewConnection(stale_connections_, peer, clock_.Now());
 }
 
 void peer_links::RecordTimeout(const std::string& peer) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  routing::RecordTimeout(suspicion_, peer, clock_.Now());
+  routing::RecordTimeout(stale_connections_, peer, clock_.Now());
 }
 
 void peer_links::Call(const std::string& peer, const std::string& path,
--- a/packages/hickoryd/peer_links.h
+++ b/packages/hickoryd/peer_links.h
@@ -59,7 +59,7 @@
   std::vector<std::string> control_;
   mutable std::mutex mutex_;
   std::map<std::string, std::string> addresses_;  // guarded by mutex_
-  routing::stale_connections suspicion_;          // guarded by mutex_
+  routing::stale_connections stale_connections_;  // guarded by mutex_
 };
 
 }  // namespace hickorywood::hickoryd
--- a/packages/hickoryd/replica_host.cc
+++ b/packages/hickoryd/replica_host.cc
@@ -35,7 +35,7 @@
 bool replica_host::Start() {
   if (!replica_->Load()) return false;
   context_.control.Every(kTickPeriod, [this] { replica_->Tick(); });
-  context_.control.Every(kJoinPeriod, [this] { AskToJoin(); });
+  context_.control.Every(kJoinPeriod, [this] { RequestToJoin(); });
   context_.control.OnIdle([this] { replica_->Flush(); });
   return true;
 }
@@ -77,7 +77,7 @@
 }
 
 // Repeats until the leader has made this replica a voter.
-void replica_host::AskToJoin() {
+void replica_host::RequestToJoin() {
   if (!replica_->NeedsToJoin()) return;
   const std::string& self_node = context_.settings.id;
   for (const std::string& node : context_.links.ControlInstances()) {
--- a/packages/hickoryd/replica_host.h
+++ b/packages/hickoryd/replica_host.h
@@ -34,7 +34,7 @@
   void Send(const consensus::message& output) override;
 
  private:
-  void AskToJoin();
+  void RequestToJoin();
   void HandleReplies(const std::optional<std::string>& payload,
                      const consensus::member& peer);
 
--- a/packages/hickoryd/report.cc
+++ b/packages/hickoryd/report.cc
@@ -15,7 +15,7 @@
 }  // namespace
 
 instance_status StatusFromView(const instance_context& context) {
-  const auto view = context.board.Get();
+  const auto view = context.view_holder.Get();
   const core::time_point now = context.clock.Now();
   instance_status status;
   status.id = context.settings.id;
@@ -47,7 +47,7 @@
   instance_burn burn;
   burn.id = context.settings.id;
   burn.site = context.settings.site;
-  const auto view = context.board.Get();
+  const auto view = context.view_holder.Get();
   if (view->config) {
     const settings::objectives_config& objectives = view->config->objectives;
     burn.allowed_bad["trainer_idle"] = objectives.trainer_idle_share;
--- a/packages/hickoryd/routing_view.cc
+++ b/packages/hickoryd/routing_view.cc
@@ -5,7 +5,7 @@
 namespace hickorywood::hickoryd {
 namespace {
 
-constexpr core::milliseconds kAliveAfterNews{1500};
+constexpr core::milliseconds kAliveTimeout{1500};
 
 }  // namespace
 
@@ -22,7 +22,7 @@
 }
 
 bool IsAlive(const instance_view& instance, core::time_point now) {
-  return now - instance.heard_at < kAliveAfterNews;
+  return now - instance.last_contact_at < kAliveTimeout;
 }
 
 void routing_view_holder::Publish(std::shared_ptr<const routing_view> view) {
--- a/packages/hickoryd/routing_view.h
+++ b/packages/hickoryd/routing_view.h
@@ -27,15 +27,15 @@
 
 struct instance_view {
   membership::instance_info info;
-  core::time_point heard_at{};
+  core::time_point last_contact_at{};
 };
 
 struct routing_view {
   uint64_t revision = 0;
   std::optional<settings::site_config> config;  // empty before the first lease
   core::time_point lease_until{};
-  // True if no instance of this site is known to hold a lease, and a majority
-  // of its instances is known to be without one.
+  // True if this instance has no lease, no live instance of its site reports
+  // one, and the instances that certainly have none are a majority of the site.
   bool is_site_dark = false;
   std::map<std::string, std::vector<endpoint_view>> engines;   // by model
   std::map<std::string, std::vector<endpoint_view>> services;  // by name
--- a/packages/hickoryd/step_delivery.cc
+++ b/packages/hickoryd/step_delivery.cc
@@ -83,7 +83,7 @@
 // Returns the slots to deliver now and discards stale samples.
 std::vector<int64_t> step_service::FormBatch(const step_ptr& step,
                                              const waiting_pull& pull) {
-  const auto view = context_.board.Get();
+  const auto view = context_.view_holder.Get();
   const settings::pool_config* pool = FindPool(*view, step->run.spec.pool);
   if (pool == nullptr) return {};
   const int64_t version =
@@ -170,7 +170,7 @@
 bool step_service::HasStaleSample(const step_ptr& step,
                                   const control::batch_record& batch,
                                   int64_t trainer_version) const {
-  const auto view = context_.board.Get();
+  const auto view = context_.view_holder.Get();
   const settings::pool_config* pool = FindPool(*view, step->run.spec.pool);
   const int64_t bound = pool == nullptr ? 0 : pool->staleness_bound;
   const int64_t version = CurrentVersion(step->run.spec.pool, trainer_version);
@@ -242,9 +242,9 @@
     // meanwhile.
     pull.done(FailureReply(503, "unknown", "the control group can't be reached",
                            kPullRetryAfter));
-    waiting_pull nobody = pull;
-    nobody.done = [](const step_reply& /*reply*/) {};
-    ProposeBatch(step, nobody, batch);
+    waiting_pull detached_pull = pull;
+    detached_pull.done = [](const step_reply& /*reply*/) {};
+    ProposeBatch(step, detached_pull, batch);
     return;
   }
   step->is_committing = false;
@@ -270,12 +270,12 @@
   if (cursor == 0 || cursor <= step->acknowledged) return;
   step->acknowledged = cursor;
   step->last.reset();
-  held_bodies drop;
-  drop.step_key = step->key;
-  drop.dropped = step->batches[cursor - 1].slots;
-  bodies_.Apply(drop);
+  held_bodies removal;
+  removal.step_key = step->key;
+  removal.dropped = step->batches[cursor - 1].slots;
+  bodies_.Apply(removal);
   if (!step->backup.empty()) {
-    bodies_.CopyTo(step->backup, drop, [](bool /*is_held*/) {});
+    bodies_.CopyTo(step->backup, removal, [](bool /*is_stored*/) {});
   }
 }
 
@@ -295,7 +295,7 @@
 
 void step_service::RecordDelivery(const step_ptr& step,
                                   const control::batch_record& batch) {
-  const auto view = context_.board.Get();
+  const auto view = context_.view_holder.Get();
   const double fresh_versions =
       view->config ? view->config->objectives.staleness_versions : 0;
   const int64_t version =
@@ -342,12 +342,12 @@
        {"tokens", std::to_string(step->run.tokens_generated)},
        {"hedge_share",
         std::to_string(static_cast<double>(step->run.hedge_tokens) / total)}});
-  held_bodies drop;
-  drop.step_key = step->key;
-  drop.is_step_dropped = true;
-  bodies_.Apply(drop);
+  held_bodies removal;
+  removal.step_key = step->key;
+  removal.is_step_dropped = true;
+  bodies_.Apply(removal);
   if (!step->backup.empty()) {
-    bodies_.CopyTo(step->backup, drop, [](bool /*is_held*/) {});
+    bodies_.CopyTo(step->backup, removal, [](bool /*is_stored*/) {});
   }
   StopStep(step, "closed");
 }
--- a/packages/hickoryd/step_service.cc
+++ b/packages/hickoryd/step_service.cc
@@ -60,7 +60,7 @@
 void step_service::LaunchSamples(const step_ptr& step) {
   const core::time_point now = context_.clock.Now();
   if (rollout::IsPastDeadline(step->run, now)) return;
-  const auto view = context_.board.Get();
+  const auto view = context_.view_holder.Get();
   const settings::pool_config* pool = FindPool(*view, step->run.spec.pool);
   if (pool == nullptr) return;
   const int64_t limit =
@@ -78,7 +78,7 @@
 void step_service::BeginSample(const step_ptr& step,
                                const rollout::launch& launch) {
   const rollout::step_spec& spec = step->run.spec;
-  const auto view = context_.board.Get();
+  const auto view = context_.view_holder.Get();
   const settings::pool_config& pool = view->config->pools.at(spec.pool);
   generation_request request;
   request.id = spec.step + "." + std::to_string(launch.slot) + "." +
@@ -177,7 +177,7 @@
   if (has_new_backup) {
     step->backup = bodies_.ChooseBackup(step->key);
     if (step->backup.empty()) return;  // no live peer; retried later
-    copy = bodies_.Get(step->key);     // all that is undelivered
+    copy = bodies_.Get(step->key);     // all undelivered bodies
   } else {
     for (const int64_t slot : step->to_replicate) {
       const std::string* body = bodies_.FindSample(step->key, slot);
@@ -187,10 +187,10 @@
   step->is_copying = true;
   const std::vector<int64_t> slots = std::move(step->to_replicate);
   step->to_replicate.clear();
-  bodies_.CopyTo(step->backup, copy, [this, step, slots](bool is_held) {
+  bodies_.CopyTo(step->backup, copy, [this, step, slots](bool is_stored) {
     step->is_copying = false;
     if (step->is_stopped) return;
-    if (is_held) {
+    if (is_stored) {
       for (const int64_t slot : slots)
         rollout::RecordReplicated(step->run, slot);
       ServePulls(step);
@@ -204,7 +204,7 @@
 
 int64_t step_service::CurrentVersion(const std::string& pool,
                                      int64_t trainer_version) const {
-  const auto view = context_.board.Get();
+  const auto view = context_.view_holder.Get();
   const auto published = view->weights.find(pool);
   return published == view->weights.end()
              ? trainer_version
--- a/packages/hickoryd/step_takeover.cc
+++ b/packages/hickoryd/step_takeover.cc
@@ -58,7 +58,7 @@
 void step_service::Open(const rollout::step_spec& spec,
                         const completion& done) {
   const core::time_point now = context_.clock.Now();
-  const auto view = context_.board.Get();
+  const auto view = context_.view_holder.Get();
   if (is_released_ || !MayServe(*view, now)) {
     done(FailureReply(503, "not_run", "this instance is not serving",
                       milliseconds(1000)));
@@ -76,10 +76,10 @@
     return;
   }
   const std::string key = control::StepKey(spec.pool, spec.step);
-  held_bodies hold;
-  hold.step_key = key;
-  hold.spec = core::Encode(spec);
-  if (!bodies_.Apply(hold)) {
+  held_bodies spec_copy;
+  spec_copy.step_key = key;
+  spec_copy.spec = core::Encode(spec);
+  if (!bodies_.Apply(spec_copy)) {
     done(FailureReply(503, "not_run", "no room for another step",
                       milliseconds(1000)));
     return;
@@ -95,14 +95,15 @@
                       milliseconds(1000)));
     return;
   }
-  bodies_.CopyTo(backup, hold, [this, key, spec, backup, done](bool is_held) {
-    if (!is_held) {
-      done(FailureReply(503, "not_run", "the second copy could not be made",
-                        milliseconds(500)));
-      return;
-    }
-    ProposeOpen(key, spec, backup, done);
-  });
+  bodies_.CopyTo(
+      backup, spec_copy, [this, key, spec, backup, done](bool is_stored) {
+        if (!is_stored) {
+          done(FailureReply(503, "not_run", "the second copy could not be made",
+                            milliseconds(500)));
+          return;
+        }
+        ProposeOpen(key, spec, backup, done);
+      });
 }
 
 void step_service::ProposeOpen(const std::string& key,
@@ -223,7 +224,7 @@
                                      const completion& done,
                                      const control::step_record& record,
                                      core::time_point retry_until) {
-  const auto view = context_.board.Get();
+  const auto view = context_.view_holder.Get();
   const core::time_point now = context_.clock.Now();
   const auto found = view->instances.find(record.coordinator);
   const bool is_self = record.coordinator == context_.settings.id;
@@ -300,8 +301,8 @@
     if (holder != context_.settings.id) others.push_back(holder);
   }
   // The coordinator may have chosen another second holder since the record was
-  // written, so all instances that are alive are asked.
-  const auto view = context_.board.Get();
+  // written, so the bodies are requested from all live instances.
+  const auto view = context_.view_holder.Get();
   for (const auto& [id, instance] : view->instances) {
     const bool is_listed =
         std::find(others.begin(), others.end(), id) != others.end();
@@ -381,8 +382,8 @@
     propose();
     return;
   }
-  bodies_.CopyTo(work->backup, work->found, [work, propose](bool is_held) {
-    if (!is_held) work->backup.clear();
+  bodies_.CopyTo(work->backup, work->found, [work, propose](bool is_stored) {
+    if (!is_stored) work->backup.clear();
     propose();
   });
 }
@@ -431,7 +432,7 @@
   bodies_.Apply(committed);
   step.last = std::make_shared<proposed_batch>(proposed_batch{last, committed});
   if (!work.backup.empty()) {
-    bodies_.CopyTo(work.backup, committed, [](bool /*is_held*/) {});
+    bodies_.CopyTo(work.backup, committed, [](bool /*is_stored*/) {});
   }
 }
 
