--- a/packages/transport/engine_protocol.cc
+++ b/packages/transport/engine_protocol.cc
@@ -69,9 +69,10 @@
     std::string line = pending_.substr(start, end - start);
     start = end + 1;
     if (!line.empty() && line.back() == '\r') line.pop_back();
+    // Skips blank lines, comments and other fields.
     if (line.rfind(kDataPrefix, 0) != 0) {
       continue;
-    }  // blank lines, comments, other fields
+    }
     const size_t text_start =
         line.find_first_not_of(' ', sizeof(kDataPrefix) - 1);
     const std::string text =
--- a/packages/transport/engine_protocol.h
+++ b/packages/transport/engine_protocol.h
@@ -47,8 +47,8 @@
 
 struct engine_order {
   order_kind kind = order_kind::kLoadVersion;
-  uint64_t fence =
-      0;  // fencing number, increases with every order of the fleet
+  // Fencing number; increases with every order of the fleet.
+  uint64_t fence = 0;
   int64_t version = 0;
   std::string argument;  // adapter, model or role
 };
--- a/packages/transport/http_client.cc
+++ b/packages/transport/http_client.cc
@@ -238,11 +238,11 @@
 
 void http_client::impl::FinishDone() {
   int left = 0;
-  while (CURLMsg* note = curl_multi_info_read(multi, &left)) {
-    if (note->msg != CURLMSG_DONE) continue;
+  while (CURLMsg* message = curl_multi_info_read(multi, &left)) {
+    if (message->msg != CURLMSG_DONE) continue;
     char* context = nullptr;
-    curl_easy_getinfo(note->easy_handle, CURLINFO_PRIVATE, &context);
-    const CURLcode code = note->data.result;
+    curl_easy_getinfo(message->easy_handle, CURLINFO_PRIVATE, &context);
+    const CURLcode code = message->data.result;
     Finish(reinterpret_cast<transfer*>(context)->id, code);
   }
 }
--- a/packages/transport/http_server.h
+++ b/packages/transport/http_server.h
@@ -25,8 +25,8 @@
   virtual const std::string& Path() const = 0;  // without the query
   virtual const std::string& Body() const = 0;
   virtual std::string Query(const std::string& name) const = 0;
-  virtual std::string Header(
-      const std::string& name) const = 0;  // empty when missing
+  // The value of a header of the request, or empty.
+  virtual std::string Header(const std::string& name) const = 0;
   virtual std::string Target() const = 0;  // path with the query
   virtual std::vector<http_header> Headers() const = 0;
   virtual std::string RemoteAddress() const = 0;
--- a/tests/unit/transport/raw_server.cc
+++ b/tests/unit/transport/raw_server.cc
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-raw_server::raw_server(script behaviour) : script_(behaviour) {
+raw_server::raw_server(script behavior) : script_(behavior) {
   listener_ = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   sockaddr_in address{};
   address.sin_family = AF_INET;
--- a/tests/unit/transport/raw_server.h
+++ b/tests/unit/transport/raw_server.h
@@ -19,7 +19,7 @@
     kTruncatedBody,           // sends less body than Content-Length
   };
 
-  explicit raw_server(script behaviour);
+  explicit raw_server(script behavior);
   ~raw_server();
 
   uint16_t Port() const { return port_; }
