--- a/packages/entry/entry_instance.cc
+++ b/packages/entry/entry_instance.cc
@@ -50,8 +50,8 @@
         caller(pool, node.seeds),
         follower(caller, FollowerOptions(node)),
         crashes(io, runtime, pool, follower.View(),
-                [this](fleet::crash_update news) {
-                  return peering::SendCrashUpdate(caller, std::move(news));
+                [this](fleet::crash_update update) {
+                  return peering::SendCrashUpdate(caller, std::move(update));
                 }),
         plain(io, runtime, pool, protocol, follower.View(), crashes, node.zone),
         stores_caller(pool, {}),
@@ -124,10 +124,10 @@
       co_await gateway.Serve(call, std::move(step));
       co_return;
     }
-    const fleet::route* where = fleet::FindRoute(
+    const fleet::route* route = fleet::FindRoute(
         follower.View().config, net::Find(input.headers, "Host"),
         net::PathOf(input.target));
-    if (where == nullptr) {
+    if (route == nullptr) {
       LogEvent(
           event_id::kRequestRefused,
           {{"request", wire.RequestId(input)},
@@ -137,11 +137,11 @@
           wire.EncodeFailure(404, "no route has this path", std::nullopt));
       co_return;
     }
-    if (where->kind == fleet::route_kind::kRollout) {
+    if (route->kind == fleet::route_kind::kRollout) {
       co_await gateway.Open(call);
       co_return;
     }
-    co_await plain.Serve(call, *where);
+    co_await plain.Serve(call, *route);
   }
 
   awaitable<void> Stop() {
--- a/packages/entry/relay.cc
+++ b/packages/entry/relay.cc
@@ -47,35 +47,35 @@
 void relay::OnEndpointsChanged() { sender_.OnEndpointsChanged(); }
 
 time_point relay::DeadlineOf(const net::request& input,
-                             const fleet::route& where) const {
-  milliseconds left(where.timeout_ms);
+                             const fleet::route& route) const {
+  milliseconds left(route.timeout_ms);
   const auto requested = wire_.TimeLeft(input);
   if (requested) left = std::min(left, *requested);
   return clock_.Now() + left;
 }
 
-awaitable<void> relay::Serve(net::exchange& call, fleet::route where) {
-  if (where.kind == fleet::route_kind::kStream) {
-    co_await ServeStream(call, where);
+awaitable<void> relay::Serve(net::exchange& call, fleet::route route) {
+  if (route.kind == fleet::route_kind::kStream) {
+    co_await ServeStream(call, route);
     co_return;
   }
-  net::response answer = co_await Answer(call.Request(), where);
+  net::response answer = co_await Answer(call.Request(), route);
   co_await call.Reply(std::move(answer));
 }
 
 awaitable<net::response> relay::Answer(const net::request& input,
-                                       const fleet::route& where) {
+                                       const fleet::route& route) {
   const time_point started = clock_.Now();
   routing::send_terms terms;
-  terms.where = where;
+  terms.route = route;
   terms.id = wire_.RequestId(input);
-  terms.deadline = DeadlineOf(input, where);
+  terms.deadline = DeadlineOf(input, route);
   routing::send_outcome outcome = co_await sender_.Send(input, terms);
   net::response answer = outcome.answer ? std::move(*outcome.answer)
                                         : MakeFailureResponse(outcome);
   LogEvent(event_id::kRequestAnswered,
            {{"request", terms.id},
-            {"route", where.name},
+            {"route", route.name},
             {"service", outcome.service},
             {"status", std::to_string(answer.status)},
             {"endpoints", std::to_string(outcome.endpoints)},
@@ -186,11 +186,11 @@
 }
 
 awaitable<void> relay::ServeStream(net::exchange& call,
-                                   const fleet::route& where) {
+                                   const fleet::route& route) {
   const net::request& input = call.Request();
-  const time_point deadline = DeadlineOf(input, where);
-  const std::string service(fleet::DrawService(where, routing::DrawShare()));
-  routing::endpoint_load_table& book = sender_.Loads();
+  const time_point deadline = DeadlineOf(input, route);
+  const std::string service(fleet::DrawService(route, routing::DrawShare()));
+  routing::endpoint_load_table& loads = sender_.Loads();
   std::set<std::string> tried;
   const quarantine::request_identity identity = quarantine::IdentityOf(input);
   const quarantine::quarantine_decision found = crashes_.Check(identity);
@@ -206,24 +206,24 @@
   for (int attempt = 0; attempt <= routing::kMaxRefusals; ++attempt) {
     const routing::choice_input choice{&view_.endpoints, service,
                                        sender_.OwnZone(), &tried, clock_.Now()};
-    const fleet::endpoint* found = routing::ChooseEndpoint(book, choice);
+    const fleet::endpoint* found = routing::ChooseEndpoint(loads, choice);
     if (found == nullptr) break;
     const fleet::endpoint target = *found;
     tried.insert(target.incarnation);
     open_request open(crashes_, identity, target);
     stream_start stream = co_await StartStream(input, target, deadline);
     if (stream.how == stream_start::outcome::kNotSent) {
-      routing::RecordFailure(book, target.incarnation, clock_.Now());
+      routing::RecordFailure(loads, target.incarnation, clock_.Now());
       open.Settle();
       continue;
     }
     if (stream.how == stream_start::outcome::kNotRun) {
-      routing::RecordFullRejection(book, target.incarnation, clock_.Now());
+      routing::RecordFullRejection(loads, target.incarnation, clock_.Now());
       open.Settle();
       continue;
     }
     if (stream.how == stream_start::outcome::kNoAnswer) {
-      routing::RecordFailure(book, target.incarnation, clock_.Now());
+      routing::RecordFailure(loads, target.incarnation, clock_.Now());
       const auto cancellation = co_await asio::this_coro::cancellation_state;
       if (!IsEndedLocally(cancellation, deadline)) open.SettleBroken();
       co_await call.Reply(
--- a/packages/entry/relay.h
+++ b/packages/entry/relay.h
@@ -29,14 +29,14 @@
   // Answers the exchange. The coroutine is cancelled when the caller
   // disconnects, which also cancels the running attempts and closes their
   // connections.
-  boost::asio::awaitable<void> Serve(net::exchange& call, fleet::route where);
+  boost::asio::awaitable<void> Serve(net::exchange& call, fleet::route route);
 
   // Called when the endpoints of the view have changed.
   void OnEndpointsChanged();
 
  private:
   boost::asio::awaitable<net::response> Answer(const net::request& input,
-                                               const fleet::route& where);
+                                               const fleet::route& route);
   net::response MakeFailureResponse(const routing::send_outcome& outcome) const;
   bool IsEndedLocally(const boost::asio::cancellation_state& state,
                       core::time_point deadline) const;
@@ -46,9 +46,9 @@
       const net::request& input, const fleet::endpoint& target,
       core::time_point deadline);
   boost::asio::awaitable<void> ServeStream(net::exchange& call,
-                                           const fleet::route& where);
+                                           const fleet::route& route);
   core::time_point DeadlineOf(const net::request& input,
-                              const fleet::route& where) const;
+                              const fleet::route& route) const;
 
   const core::runtime_clock& clock_;
   net::connection_pool& pool_;
--- a/packages/routing/admission.cc
+++ b/packages/routing/admission.cc
@@ -22,8 +22,9 @@
 }
 
 double Share(const waiting_request& request,
-             const fair_queue::trainer_queue& lane) {
-  return static_cast<double>(request.cost) / static_cast<double>(lane.weight);
+             const fair_queue::trainer_queue& trainer_queue) {
+  return static_cast<double>(request.cost) /
+         static_cast<double>(trainer_queue.weight);
 }
 
 }  // namespace
@@ -38,13 +39,14 @@
     queue.interactive.push_back(request);
     return;
   }
-  fair_queue::trainer_queue& lane = queue.trainer_queues[request.trainer];
+  fair_queue::trainer_queue& trainer_queue =
+      queue.trainer_queues[request.trainer];
   // A trainer that was idle starts at the current virtual time and gets no
   // credit for its idle time.
-  if (lane.waiting.empty()) {
-    lane.finish = std::max(lane.finish, queue.virtual_time);
+  if (trainer_queue.waiting.empty()) {
+    trainer_queue.finish = std::max(trainer_queue.finish, queue.virtual_time);
   }
-  lane.waiting.push_back(request);
+  trainer_queue.waiting.push_back(request);
 }
 
 std::optional<waiting_request> Pop(fair_queue& queue) {
@@ -56,9 +58,10 @@
     return next;
   }
   fair_queue::trainer_queue* first = nullptr;
-  for (auto& [trainer, lane] : queue.trainer_queues) {
-    if (lane.waiting.empty()) continue;
-    if (first == nullptr || lane.finish < first->finish) first = &lane;
+  for (auto& [trainer, trainer_queue] : queue.trainer_queues) {
+    if (trainer_queue.waiting.empty()) continue;
+    if (first == nullptr || trainer_queue.finish < first->finish)
+      first = &trainer_queue;
   }
   const waiting_request next = first->waiting.front();
   first->waiting.pop_front();
@@ -73,9 +76,10 @@
     queue.interactive.push_front(request);
     return;
   }
-  fair_queue::trainer_queue& lane = queue.trainer_queues[request.trainer];
-  lane.waiting.push_front(request);
-  lane.finish -= Share(request, lane);
+  fair_queue::trainer_queue& trainer_queue =
+      queue.trainer_queues[request.trainer];
+  trainer_queue.waiting.push_front(request);
+  trainer_queue.finish -= Share(request, trainer_queue);
 }
 
 bool Remove(fair_queue& queue, uint64_t id) {
--- a/packages/routing/endpoint_choice.cc
+++ b/packages/routing/endpoint_choice.cc
@@ -28,29 +28,29 @@
 // A full endpoint has a free slot again after about one request duration.
 constexpr milliseconds kAvoidAfterFull{25};
 
-const endpoint_load& LoadOf(const endpoint_load_table& book,
+const endpoint_load& LoadOf(const endpoint_load_table& loads,
                             const std::string& incarnation) {
   static const endpoint_load kNoLoad;
-  const auto found = book.records.find(incarnation);
-  return found == book.records.end() ? kNoLoad : found->second;
+  const auto found = loads.records.find(incarnation);
+  return found == loads.records.end() ? kNoLoad : found->second;
 }
 
 bool IsLatencyKnown(const endpoint_load& record, core::time_point now) {
   return record.latency_ms > 0 && now - record.latency_at < kLatencyLifetime;
 }
 
-double MedianLatency(const endpoint_load_table& book,
+double MedianLatency(const endpoint_load_table& loads,
                      const std::vector<const fleet::endpoint*>& candidates,
                      core::time_point now) {
-  std::vector<double> known;
+  std::vector<double> latencies;
   for (const fleet::endpoint* item : candidates) {
-    const endpoint_load& record = LoadOf(book, item->incarnation);
-    if (IsLatencyKnown(record, now)) known.push_back(record.latency_ms);
+    const endpoint_load& record = LoadOf(loads, item->incarnation);
+    if (IsLatencyKnown(record, now)) latencies.push_back(record.latency_ms);
   }
-  if (known.empty()) return 0;
+  if (latencies.empty()) return 0;
   const auto middle =
-      known.begin() + static_cast<ptrdiff_t>((known.size() - 1) / 2);
-  std::nth_element(known.begin(), middle, known.end());
+      latencies.begin() + static_cast<ptrdiff_t>((latencies.size() - 1) / 2);
+  std::nth_element(latencies.begin(), middle, latencies.end());
   return *middle;
 }
 
@@ -74,7 +74,7 @@
 
 }  // namespace
 
-const fleet::endpoint* ChooseEndpoint(const endpoint_load_table& book,
+const fleet::endpoint* ChooseEndpoint(const endpoint_load_table& loads,
                                       const choice_input& input) {
   std::vector<const fleet::endpoint*> candidates;
   for (const fleet::endpoint& item : *input.endpoints) {
@@ -83,12 +83,12 @@
                          input.excluded->count(item.incarnation) == 0;
     if (is_open) candidates.push_back(&item);
   }
-  const double median_ms = MedianLatency(book, candidates, input.now);
+  const double median_ms = MedianLatency(loads, candidates, input.now);
   const fleet::endpoint* best = nullptr;
   double best_cost = 0;
   bool is_best_avoided = true;
   for (const fleet::endpoint* item : candidates) {
-    const endpoint_load& record = LoadOf(book, item->incarnation);
+    const endpoint_load& record = LoadOf(loads, item->incarnation);
     const bool is_avoided = record.avoid_until > input.now;
     const double cost = ExpectedCost(record, *item, median_ms, input);
     const bool is_better = best == nullptr ||
@@ -102,20 +102,21 @@
   return best;
 }
 
-void RecordSent(endpoint_load_table& book, const std::string& incarnation) {
-  ++book.records[incarnation].outstanding;
+void RecordSent(endpoint_load_table& loads, const std::string& incarnation) {
+  ++loads.records[incarnation].outstanding;
 }
 
-void RecordFinished(endpoint_load_table& book, const std::string& incarnation) {
-  const auto found = book.records.find(incarnation);
-  if (found != book.records.end()) --found->second.outstanding;
+void RecordFinished(endpoint_load_table& loads,
+                    const std::string& incarnation) {
+  const auto found = loads.records.find(incarnation);
+  if (found != loads.records.end()) --found->second.outstanding;
 }
 
-void RecordAnswer(endpoint_load_table& book, const std::string& incarnation,
+void RecordAnswer(endpoint_load_table& loads, const std::string& incarnation,
                   milliseconds latency,
                   const std::optional<fleet::load_hint>& hint,
                   core::time_point now) {
-  endpoint_load& record = book.records[incarnation];
+  endpoint_load& record = loads.records[incarnation];
   const auto sample =
       static_cast<double>(std::max<int64_t>(1, latency.count()));
   record.latency_ms =
@@ -130,26 +131,26 @@
   record.load_hint_at = now;
 }
 
-void RecordFailure(endpoint_load_table& book, const std::string& incarnation,
+void RecordFailure(endpoint_load_table& loads, const std::string& incarnation,
                    core::time_point now) {
-  endpoint_load& record = book.records[incarnation];
+  endpoint_load& record = loads.records[incarnation];
   const int doublings = std::min(record.failures, kMaxDoublings);
   ++record.failures;
   record.avoid_until = now + kAvoidAfterFailure * (1 << doublings);
 }
 
-void RecordFullRejection(endpoint_load_table& book,
+void RecordFullRejection(endpoint_load_table& loads,
                          const std::string& incarnation, core::time_point now) {
-  endpoint_load& record = book.records[incarnation];
+  endpoint_load& record = loads.records[incarnation];
   record.avoid_until = std::max(record.avoid_until, now + kAvoidAfterFull);
 }
 
-void RemoveUnlisted(endpoint_load_table& book,
+void RemoveUnlisted(endpoint_load_table& loads,
                     const std::vector<fleet::endpoint>& endpoints) {
-  std::set<std::string> known;
-  for (const fleet::endpoint& item : endpoints) known.insert(item.incarnation);
-  std::erase_if(book.records, [&known](const auto& item) {
-    return known.count(item.first) == 0 && item.second.outstanding == 0;
+  std::set<std::string> listed;
+  for (const fleet::endpoint& item : endpoints) listed.insert(item.incarnation);
+  std::erase_if(loads.records, [&listed](const auto& item) {
+    return listed.count(item.first) == 0 && item.second.outstanding == 0;
   });
 }
 
--- a/packages/routing/endpoint_choice.h
+++ b/packages/routing/endpoint_choice.h
@@ -2,7 +2,7 @@
 #define HICKORYWOOD_ROUTING_ENDPOINT_CHOICE_H_
 
 // Chooses the endpoint of a service for a plain request, from the information
-// that one entry has: its own count of outstanding requests, which is exact,
+// that one process has: its own count of outstanding requests, which is exact,
 // and the load hints that endpoints add to their answers, which are delayed.
 
 #include <chrono>
@@ -20,10 +20,10 @@
 namespace hickorywood::routing {
 
 struct endpoint_load {
-  int64_t outstanding = 0;  // requests of this entry
+  int64_t outstanding = 0;  // requests of this process
   double latency_ms = 0;    // of answered requests, smoothed; 0: no sample
   core::time_point latency_at{};
-  // Requests of other entries at the endpoint, as of `load_hint_at`.
+  // Requests of other processes at the endpoint, as of `load_hint_at`.
   int64_t external = 0;
   core::time_point load_hint_at{};
   int failures = 0;  // consecutive
@@ -46,25 +46,25 @@
 // Returns the endpoint with the lowest expected cost, or nullptr when no
 // endpoint can accept the request. Endpoints that failed recently are chosen
 // only when there is no alternative.
-const fleet::endpoint* ChooseEndpoint(const endpoint_load_table& book,
+const fleet::endpoint* ChooseEndpoint(const endpoint_load_table& loads,
                                       const choice_input& input);
 
-void RecordSent(endpoint_load_table& book, const std::string& incarnation);
-void RecordFinished(endpoint_load_table& book, const std::string& incarnation);
-void RecordAnswer(endpoint_load_table& book, const std::string& incarnation,
+void RecordSent(endpoint_load_table& loads, const std::string& incarnation);
+void RecordFinished(endpoint_load_table& loads, const std::string& incarnation);
+void RecordAnswer(endpoint_load_table& loads, const std::string& incarnation,
                   std::chrono::milliseconds latency,
                   const std::optional<fleet::load_hint>& hint,
                   core::time_point now);
 // The endpoint was unreachable, or its answer was cut off or malformed.
-void RecordFailure(endpoint_load_table& book, const std::string& incarnation,
+void RecordFailure(endpoint_load_table& loads, const std::string& incarnation,
                    core::time_point now);
 // The endpoint rejected a request because it is full.
-void RecordFullRejection(endpoint_load_table& book,
+void RecordFullRejection(endpoint_load_table& loads,
                          const std::string& incarnation, core::time_point now);
 
 // Removes the records of incarnations that are neither in `endpoints` nor have
 // outstanding requests.
-void RemoveUnlisted(endpoint_load_table& book,
+void RemoveUnlisted(endpoint_load_table& loads,
                     const std::vector<fleet::endpoint>& endpoints);
 
 }  // namespace hickorywood::routing
--- a/packages/routing/request_sender.cc
+++ b/packages/routing/request_sender.cc
@@ -34,10 +34,10 @@
   return std::chrono::duration_cast<milliseconds>(now - start);
 }
 
-milliseconds HedgeDelay(const fleet::route& where) {
-  if (where.objective_ms <= 0) return kDefaultHedgeDelay;
+milliseconds HedgeDelay(const fleet::route& route) {
+  if (route.objective_ms <= 0) return kDefaultHedgeDelay;
   const milliseconds delay(static_cast<int64_t>(
-      kHedgeDelayShare * static_cast<double>(where.objective_ms)));
+      kHedgeDelayShare * static_cast<double>(route.objective_ms)));
   return std::max(delay, kMinHedgeDelay);
 }
 
@@ -103,7 +103,7 @@
       own_zone_(std::move(own_zone)) {}
 
 void request_sender::OnEndpointsChanged() {
-  RemoveUnlisted(book_, view_.endpoints);
+  RemoveUnlisted(loads_, view_.endpoints);
   // Connections to a terminated incarnation are dead, or lead to the
   // incarnation that replaced it.
   std::map<std::string, std::string> addresses;
@@ -120,10 +120,10 @@
   if (clock_.Now() >= state.terms.deadline) return false;
   if (state.refusals > kMaxRefusals) return false;
   const int count = state.running + state.may_have_run;
-  if (count >= state.terms.where.max_attempts) return false;
+  if (count >= state.terms.route.max_attempts) return false;
   if (state.quarantined_for || (state.is_suspected && count > 0)) return false;
   const bool may_repeat =
-      state.terms.where.kind == fleet::route_kind::kIdempotent;
+      state.terms.route.kind == fleet::route_kind::kIdempotent;
   return may_repeat || count == 0;
 }
 
@@ -155,7 +155,7 @@
   };
   const canceller guard{state};
   state->terms = terms;
-  state->service = std::string(fleet::DrawService(terms.where, DrawShare()));
+  state->service = std::string(fleet::DrawService(terms.route, DrawShare()));
   const quarantine::request_identity identity = quarantine::IdentityOf(input);
   for (;;) {
     const bool is_time = state->running == 0 || clock_.Now() >= state->hedge_at;
@@ -170,8 +170,8 @@
     co_await state->changed.WaitUntil(
         may_hedge ? std::min(terms.deadline, state->hedge_at) : terms.deadline);
     ProcessResults(*state, identity);
-    const bool is_over = state->best && state->best->status < 500;
-    if (is_over || clock_.Now() >= terms.deadline) break;
+    const bool has_final_answer = state->best && state->best->status < 500;
+    if (has_final_answer || clock_.Now() >= terms.deadline) break;
   }
   send_outcome outcome;
   outcome.answer = std::move(state->best);
@@ -194,27 +194,27 @@
   choice.own_zone = own_zone_;
   choice.excluded = &state->tried;
   choice.now = clock_.Now();
-  const fleet::endpoint* target = ChooseEndpoint(book_, choice);
+  const fleet::endpoint* target = ChooseEndpoint(loads_, choice);
   if (target == nullptr) {
     state->problem = "no further endpoint is available";
     state->hedge_at = time_point::max();
     return false;
   }
   state->tried.insert(target->incarnation);
-  state->hedge_at = clock_.Now() + HedgeDelay(state->terms.where);
+  state->hedge_at = clock_.Now() + HedgeDelay(state->terms.route);
   ++state->running;
   state->cancels.push_back(net::MakeCancelSignal());
   const std::string incarnation = target->incarnation;
   fleet::dispatch_terms terms;
   terms.time_left = Since(clock_.Now(), state->terms.deadline);
   terms.endpoint = target->name;
-  RecordSent(book_, incarnation);
+  RecordSent(loads_, incarnation);
   net::SpawnCancellable(
       loop_, Attempt(state, *target, wire_.EncodeDispatch(input, terms)),
       state->cancels.back(),
       [this, state, incarnation](const std::exception_ptr& failure,
                                  attempt_result result) {
-        RecordFinished(book_, incarnation);
+        RecordFinished(loads_, incarnation);
         result.is_cancelled = result.is_cancelled || failure != nullptr;
         --state->running;
         state->results.push_back(std::move(result));
@@ -234,25 +234,25 @@
   // A reused connection can turn out to be dead after the request was
   // written; it is then unknown whether the endpoint ran the request.
   options.needs_fresh =
-      state->terms.where.kind != fleet::route_kind::kIdempotent;
+      state->terms.route.kind != fleet::route_kind::kIdempotent;
   options.expected = wire_.RequestIdHeader(state->terms.id);
   net::call_result call =
       co_await net::Call(pool_, target.address, output, options);
   const time_point now = clock_.Now();
   attempt_result result;
   const fleet::answer_marks marks = wire_.DecodeMarks(call.answer);
-  const bool is_whole = call.how == net::progress::kAnswered;
+  const bool is_complete = call.how == net::progress::kAnswered;
   const bool is_success = call.answer.status / 100 == 2;
-  if (is_whole && marks.is_not_run) {
-    RecordFullRejection(book_, target.incarnation, now);
-  } else if (is_whole && (marks.IsSigned() || !is_success)) {
+  if (is_complete && marks.is_not_run) {
+    RecordFullRejection(loads_, target.incarnation, now);
+  } else if (is_complete && (marks.IsSigned() || !is_success)) {
     result.may_have_run = true;
     result.is_usable = marks.IsSigned();
-    RecordAnswer(book_, target.incarnation, Since(started, now), marks.load,
+    RecordAnswer(loads_, target.incarnation, Since(started, now), marks.load,
                  now);
   } else {
     result.may_have_run = call.how != net::progress::kNotSent;
-    RecordFailure(book_, target.incarnation, now);
+    RecordFailure(loads_, target.incarnation, now);
     // The attempt was cancelled locally when the caller disconnected or another
     // copy was answered first; the endpoint did not break the connection then.
     const auto cancellation = co_await asio::this_coro::cancellation_state;
--- a/packages/routing/request_sender.h
+++ b/packages/routing/request_sender.h
@@ -35,7 +35,7 @@
 constexpr int kMaxRefusals = 4;
 
 struct send_terms {
-  fleet::route where;
+  fleet::route route;
   std::string id;               // of the request; answers repeat it
   core::time_point deadline{};  // of the complete answer
 };
@@ -74,7 +74,7 @@
 
   // Load records of the endpoints, shared with requests that are not sent by
   // Send().
-  endpoint_load_table& Loads() { return book_; }
+  endpoint_load_table& Loads() { return loads_; }
   const std::string& OwnZone() const { return own_zone_; }
 
  private:
@@ -101,7 +101,7 @@
   const fleet::view& view_;
   quarantine::crash_detector& crashes_;
   const std::string own_zone_;
-  endpoint_load_table book_;
+  endpoint_load_table loads_;
   std::map<std::string, std::string> addresses_;  // by incarnation
 };
 
--- a/packages/routing/stale_connections.cc
+++ b/packages/routing/stale_connections.cc
@@ -9,15 +9,15 @@
 
 }  // namespace
 
-void RecordTimeout(stale_connections& suspicion, const std::string& peer,
+void RecordTimeout(stale_connections& stale, const std::string& peer,
                    core::time_point now) {
-  suspicion.until[peer] = now + kSuspicionDuration;
+  stale.until[peer] = now + kSuspicionDuration;
 }
 
-bool NeedsNewConnection(const stale_connections& suspicion,
-                        const std::string& peer, core::time_point now) {
-  const auto found = suspicion.until.find(peer);
-  return found != suspicion.until.end() && now < found->second;
+bool NeedsNewConnection(const stale_connections& stale, const std::string& peer,
+                        core::time_point now) {
+  const auto found = stale.until.find(peer);
+  return found != stale.until.end() && now < found->second;
 }
 
 }  // namespace hickorywood::routing
--- a/packages/routing/stale_connections.h
+++ b/packages/routing/stale_connections.h
@@ -18,11 +18,11 @@
   std::map<std::string, core::time_point> until;  // by peer
 };
 
-void RecordTimeout(stale_connections& suspicion, const std::string& peer,
+void RecordTimeout(stale_connections& stale, const std::string& peer,
                    core::time_point now);
 
-bool NeedsNewConnection(const stale_connections& suspicion,
-                        const std::string& peer, core::time_point now);
+bool NeedsNewConnection(const stale_connections& stale, const std::string& peer,
+                        core::time_point now);
 
 }  // namespace hickorywood::routing
 
--- a/packages/store/reward_caller.cc
+++ b/packages/store/reward_caller.cc
@@ -54,17 +54,17 @@
   // time.
   std::map<const fleet::route*, int64_t> free_slots;
   const auto free_slots_at =
-      [this, &free_slots](const fleet::route* where) -> int64_t& {
-    const auto [found, is_new] = free_slots.try_emplace(where, 0);
-    if (is_new) found->second = FreeSlotsAt(*where);
+      [this, &free_slots](const fleet::route* route) -> int64_t& {
+    const auto [found, is_new] = free_slots.try_emplace(route, 0);
+    if (is_new) found->second = FreeSlotsAt(*route);
     return found->second;
   };
   std::vector<steps::waiting_reward> waiting;
   std::vector<std::shared_ptr<job_state>> waiting_jobs;
   for (const auto& [key, job] : jobs_) {
     if (job->is_sent || job->not_before > now) continue;
-    const fleet::route* where = RouteOf(job->job);
-    if (where == nullptr || free_slots_at(where) <= 0) continue;
+    const fleet::route* route = RouteOf(job->job);
+    if (route == nullptr || free_slots_at(route) <= 0) continue;
     steps::waiting_reward item;
     item.open_in_group = open_in_group(key);
     item.opened_at = job->job.opened_at;
@@ -73,11 +73,11 @@
     waiting_jobs.push_back(job);
   }
   for (const size_t index : steps::OrderRewards(waiting)) {
-    const fleet::route* where = RouteOf(waiting_jobs[index]->job);
-    int64_t& slots_left = free_slots_at(where);
+    const fleet::route* route = RouteOf(waiting_jobs[index]->job);
+    int64_t& slots_left = free_slots_at(route);
     if (slots_left <= 0) continue;
     --slots_left;
-    Start(waiting_jobs[index], *where);
+    Start(waiting_jobs[index], *route);
   }
 }
 
@@ -87,12 +87,12 @@
   return fleet::FindRoute(view_.config, job.request.host, job.request.path);
 }
 
-int64_t reward_caller::SlotsOf(const fleet::route& where) const {
+int64_t reward_caller::SlotsOf(const fleet::route& route) const {
   int64_t slots = 0;
   for (const fleet::endpoint& item : view_.endpoints) {
     const bool is_open = item.state != fleet::endpoint_state::kDraining;
     const bool is_of_route =
-        std::any_of(where.services.begin(), where.services.end(),
+        std::any_of(route.services.begin(), route.services.end(),
                     [&item](const fleet::weighted_service& service) {
                       return service.service == item.service;
                     });
@@ -101,26 +101,26 @@
   return slots;
 }
 
-int64_t reward_caller::FreeSlotsAt(const fleet::route& where) {
-  const route_state& state = routes_[where.name];
-  return routing::MaxRequestsInFlight(state.limit, SlotsOf(where)) -
+int64_t reward_caller::FreeSlotsAt(const fleet::route& route) {
+  const route_state& state = routes_[route.name];
+  return routing::MaxRequestsInFlight(state.limit, SlotsOf(route)) -
          state.running;
 }
 
 void reward_caller::Start(const std::shared_ptr<job_state>& job,
-                          fleet::route where) {
+                          fleet::route route) {
   // A reward request may always be repeated, whatever the kind of its route.
-  where.kind = fleet::route_kind::kIdempotent;
+  route.kind = fleet::route_kind::kIdempotent;
   const time_point started = clock_.Now();
   const milliseconds timeout =
-      where.timeout_ms > 0 ? milliseconds(where.timeout_ms) : kDefaultTimeout;
+      route.timeout_ms > 0 ? milliseconds(route.timeout_ms) : kDefaultTimeout;
   routing::send_terms terms;
-  terms.where = where;
+  terms.route = route;
   terms.id = job->job.request.id;
   terms.deadline = started + timeout;
   job->is_sent = true;
   job->cancel = net::MakeCancelSignal();
-  ++routes_[where.name].running;
+  ++routes_[route.name].running;
   const auto send = [](routing::request_sender& sender, net::request input,
                        routing::send_terms agreed)
       -> boost::asio::awaitable<routing::send_outcome> {
@@ -129,30 +129,30 @@
   net::SpawnCancellable(
       loop_, send(sender_, wire_.EncodeReward(job->job.request), terms),
       job->cancel,
-      [this, job, where, started, cancel = job->cancel](
+      [this, job, route, started, cancel = job->cancel](
           const std::exception_ptr& failure,
           const routing::send_outcome& outcome) {
-        --routes_[where.name].running;
+        --routes_[route.name].running;
         const auto found = jobs_.find(job->job.key);
         const bool is_current = found != jobs_.end() && found->second == job &&
                                 job->cancel == cancel;
-        if (!failure && is_current) FinishSend(job, where, started, outcome);
+        if (!failure && is_current) FinishSend(job, route, started, outcome);
       });
 }
 
 void reward_caller::FinishSend(const std::shared_ptr<job_state>& job,
-                               const fleet::route& where, time_point started,
+                               const fleet::route& route, time_point started,
                                const routing::send_outcome& outcome) {
   const time_point now = clock_.Now();
   const bool is_scored = IsScored(outcome);
-  routing::adaptive_limit& limit = routes_[where.name].limit;
+  routing::adaptive_limit& limit = routes_[route.name].limit;
   if (outcome.refusals > 0) {
-    routing::RecordRejected(limit, SlotsOf(where), now);
+    routing::RecordRejected(limit, SlotsOf(route), now);
   } else if (outcome.answer) {
-    routing::RecordServed(limit, SlotsOf(where));
+    routing::RecordServed(limit, SlotsOf(route));
   }
   job->failures += outcome.failed_answers;
-  const bool is_abandoned = !is_scored && job->failures >= where.max_attempts;
+  const bool is_abandoned = !is_scored && job->failures >= route.max_attempts;
   const auto call_time =
       std::chrono::duration_cast<milliseconds>(now - started);
   const int status = outcome.answer ? outcome.answer->status : 0;
@@ -160,7 +160,7 @@
            {{"step", job->job.key.step},
             {"task", std::to_string(job->job.key.task)},
             {"request", job->job.request.id},
-            {"route", where.name},
+            {"route", route.name},
             {"status", std::to_string(status)},
             {"endpoints", std::to_string(outcome.endpoints)},
             {"refusals", std::to_string(outcome.refusals)},
--- a/packages/store/reward_caller.h
+++ b/packages/store/reward_caller.h
@@ -79,12 +79,12 @@
   };
 
   const fleet::route* RouteOf(const reward_job& job) const;
-  int64_t SlotsOf(const fleet::route& where) const;
+  int64_t SlotsOf(const fleet::route& route) const;
   // Returns the number of requests that may be sent to the route now.
-  int64_t FreeSlotsAt(const fleet::route& where);
-  void Start(const std::shared_ptr<job_state>& job, fleet::route where);
+  int64_t FreeSlotsAt(const fleet::route& route);
+  void Start(const std::shared_ptr<job_state>& job, fleet::route route);
   void FinishSend(const std::shared_ptr<job_state>& job,
-                  const fleet::route& where, core::time_point started,
+                  const fleet::route& route, core::time_point started,
                   const routing::send_outcome& outcome);
   static void CancelSend(job_state& job);
 
--- a/tests/unit/routing/endpoint_choice_test.cc
+++ b/tests/unit/routing/endpoint_choice_test.cc
@@ -30,21 +30,21 @@
     input.own_zone = "b";
     input.excluded = &excluded_;
     input.now = now_;
-    const fleet::endpoint* chosen = ChooseEndpoint(book_, input);
+    const fleet::endpoint* chosen = ChooseEndpoint(loads_, input);
     return chosen == nullptr ? "" : chosen->incarnation;
   }
 
   std::vector<fleet::endpoint> endpoints_;
   std::set<std::string> excluded_;
-  endpoint_load_table book_;
+  endpoint_load_table loads_;
   core::time_point now_ = core::time_point(seconds(100));
 };
 
 TEST_F(EndpointChoiceTest, PrefersOwnZoneAndSpillsOver) {
   EXPECT_EQ(Choose(), "in-b");
-  RecordSent(book_, "in-b");
+  RecordSent(loads_, "in-b");
   EXPECT_NE(Choose(), "in-b");
-  RecordFinished(book_, "in-b");
+  RecordFinished(loads_, "in-b");
   EXPECT_EQ(Choose(), "in-b");
 }
 
@@ -59,7 +59,7 @@
 // An endpoint crashed: the entry that observed the failure avoids the endpoint,
 // but prefers it to rejecting a request when no other endpoint is left.
 TEST_F(EndpointChoiceTest, FailedEndpointIsTheLastResort) {
-  RecordFailure(book_, "in-b", now_);
+  RecordFailure(loads_, "in-b", now_);
   EXPECT_NE(Choose(), "in-b");
   excluded_ = {"in-a", "in-c"};
   EXPECT_EQ(Choose(), "in-b");
@@ -72,9 +72,9 @@
 // requests again when its latency samples have expired.
 TEST_F(EndpointChoiceTest, SlowEndpointIsAvoidedUntilSamplesExpire) {
   for (int i = 0; i < 8; ++i) {
-    RecordAnswer(book_, "in-a", milliseconds(25), {}, now_);
-    RecordAnswer(book_, "in-b", milliseconds(90), {}, now_);
-    RecordAnswer(book_, "in-c", milliseconds(25), {}, now_);
+    RecordAnswer(loads_, "in-a", milliseconds(25), {}, now_);
+    RecordAnswer(loads_, "in-b", milliseconds(90), {}, now_);
+    RecordAnswer(loads_, "in-c", milliseconds(25), {}, now_);
   }
   EXPECT_NE(Choose(), "in-b");
   now_ += seconds(5);
@@ -85,7 +85,7 @@
 // reports that load in its answers, and the weight of the report decreases with
 // its age.
 TEST_F(EndpointChoiceTest, LoadOfOtherEntriesCountsUntilItExpires) {
-  RecordAnswer(book_, "in-b", milliseconds(25), fleet::load_hint{5, 2, 6},
+  RecordAnswer(loads_, "in-b", milliseconds(25), fleet::load_hint{5, 2, 6},
                now_);
   EXPECT_NE(Choose(), "in-b");
   now_ += milliseconds(1001);
--- a/tests/unit/routing/routing_test.cc
+++ b/tests/unit/routing/routing_test.cc
@@ -247,12 +247,11 @@
 }
 
 TEST(StaleConnectionsTest, EndsWithTheAgeOfTheConnections) {
-  stale_connections suspicion;
-  EXPECT_FALSE(NeedsNewConnection(suspicion, "a", kStart));
-  RecordTimeout(suspicion, "a", kStart);
-  EXPECT_TRUE(NeedsNewConnection(suspicion, "a", kStart + milliseconds(20000)));
-  EXPECT_FALSE(
-      NeedsNewConnection(suspicion, "a", kStart + milliseconds(21000)));
+  stale_connections stale;
+  EXPECT_FALSE(NeedsNewConnection(stale, "a", kStart));
+  RecordTimeout(stale, "a", kStart);
+  EXPECT_TRUE(NeedsNewConnection(stale, "a", kStart + milliseconds(20000)));
+  EXPECT_FALSE(NeedsNewConnection(stale, "a", kStart + milliseconds(21000)));
 }
 
 }  // namespace
