--- a/packages/net/call.cc
+++ b/packages/net/call.cc
@@ -88,11 +88,11 @@
     co_return result;
   }
   result.how = progress::kMaybeSent;
-  bool is_whole = co_await open->Write(input, options.deadline);
-  if (is_whole) {
-    is_whole = co_await ReadAnswer(*open, options, result.answer);
+  bool is_complete = co_await open->Write(input, options.deadline);
+  if (is_complete) {
+    is_complete = co_await ReadAnswer(*open, options, result.answer);
   }
-  if (!is_whole) {
+  if (!is_complete) {
     result.answer = response{.status = 0};
     result.error = open->Error();
     result.is_timeout = std::chrono::steady_clock::now() >= options.deadline;
--- a/packages/net/connection_pool.cc
+++ b/packages/net/connection_pool.cc
@@ -261,14 +261,14 @@
 
 void connection_pool::Release(std::unique_ptr<connection> used) {
   auto* const item = static_cast<pooled_connection*>(used.release());
-  std::unique_ptr<pooled_connection> held(item);
+  std::unique_ptr<pooled_connection> owner(item);
   const bool is_pooled =
       item != nullptr && item->IsReusable() &&
       item->Carried() < impl_->options.requests_per_connection;
   if (!is_pooled) return;
   std::deque<idle_connection>& waiting = impl_->idle[item->Address()];
   if (waiting.size() >= impl_->options.idle_per_address) waiting.pop_front();
-  waiting.push_back({std::move(held), std::chrono::steady_clock::now()});
+  waiting.push_back({std::move(owner), std::chrono::steady_clock::now()});
 }
 
 void connection_pool::CloseIdle(const std::string& address) {
