--- a/packages/store/dispatch_limits.h
+++ b/packages/store/dispatch_limits.h
@@ -61,7 +61,8 @@
 // for this long. The runner ends a run whose engine sends no event for 2.5 s
 // and reports that at once, so after this time the report must have been lost.
 constexpr milliseconds kRunReportTimeout{4000};
-// Maximum time between two polls of a runner within which it still gets orders.
+// Time since the last contact of a runner within which it gets orders although
+// it is not polling.
 constexpr milliseconds kMaxPollGap{200};
 // Time for which a runner collects reports before it sends them. The delay is
 // short for outcomes, because the engine has a free slot. Other reports only
--- a/packages/store/dispatcher.cc
+++ b/packages/store/dispatcher.cc
@@ -89,15 +89,15 @@
 }
 
 void dispatcher::OnView() {
-  std::set<std::string> known;
+  std::set<std::string> listed;
   for (const fleet::endpoint& item : view_.endpoints) {
-    known.insert(item.incarnation);
+    listed.insert(item.incarnation);
   }
-  std::erase_if(engines_, [&known](const auto& item) {
-    return known.count(item.first) == 0 && item.second.running == 0;
+  std::erase_if(engines_, [&listed](const auto& item) {
+    return listed.count(item.first) == 0 && item.second.running == 0;
   });
   for (const fleet::engine_weights_entry& item : view_.weights) {
-    if (known.count(item.incarnation) == 0) continue;
+    if (listed.count(item.incarnation) == 0) continue;
     engine_record& record = engines_[item.incarnation];
     engine_weights& weights = record.weights[item.model];
     // Loading weights discards the prompts that the engine has processed.
@@ -155,11 +155,11 @@
 // --- Tracking of open steps.
 
 void dispatcher::SyncSteps() {
-  for (const auto& [id, where] : state_.Steps()) {
+  for (const auto& [id, step] : state_.Steps()) {
     const bool is_open =
-        !where.is_ended && where.results.size() < where.input.tasks.size();
+        !step.is_ended && step.results.size() < step.input.tasks.size();
     const bool is_known = steps_.count(id) != 0;
-    if (is_open && !is_known) TrackStep(id, where);
+    if (is_open && !is_known) TrackStep(id, step);
     if (!is_open && is_known) {
       CancelRuns(id);
       rewards_.CancelStep(id);
@@ -173,40 +173,40 @@
   });
 }
 
-void dispatcher::TrackStep(const std::string& id, const steps::step& where) {
-  tracked_step& fresh = steps_[id];
+void dispatcher::TrackStep(const std::string& id, const steps::step& step) {
+  tracked_step& tracked = steps_[id];
   const milliseconds age(std::max<int64_t>(
-      0, core::ToUnixMillis(clock_.WallNow()) - where.opened_ms));
-  fresh.opened_at = clock_.Now() - age;
-  fresh.tasks.resize(where.input.tasks.size());
-  for (const steps::task& task : where.input.tasks) {
-    fresh.expected_tokens.push_back(
+      0, core::ToUnixMillis(clock_.WallNow()) - step.opened_ms));
+  tracked.opened_at = clock_.Now() - age;
+  tracked.tasks.resize(step.input.tasks.size());
+  for (const steps::task& task : step.input.tasks) {
+    tracked.expected_tokens.push_back(
         task.request ? wire_.ExpectedTokens(*task.request) : 0);
   }
-  fresh.order = steps::OrderTasks(fresh.expected_tokens);
-  for (const steps::task_result& result : where.results) {
-    fresh.tasks[result.task].stage = task_stage::kDone;
+  tracked.order = steps::OrderTasks(tracked.expected_tokens);
+  for (const steps::task_result& result : step.results) {
+    tracked.tasks[result.task].stage = task_stage::kDone;
   }
-  for (const auto& [task, text] : where.progress) {
-    fresh.tasks[task].text = text;
-    fresh.tasks[task].committed_events = text.events;
-    fresh.tasks[task].is_complete_text_committed = text.is_whole;
+  for (const auto& [task, text] : step.progress) {
+    tracked.tasks[task].text = text;
+    tracked.tasks[task].committed_events = text.events;
+    tracked.tasks[task].is_complete_text_committed = text.is_whole;
   }
-  fresh.open_tasks = where.input.tasks.size() - where.results.size();
-  for (uint32_t i = 0; i < fresh.tasks.size(); ++i) {
-    if (fresh.tasks[i].stage == task_stage::kDone) continue;
-    ++fresh.open_by_group[where.input.tasks[i].group];
+  tracked.open_tasks = step.input.tasks.size() - step.results.size();
+  for (uint32_t i = 0; i < tracked.tasks.size(); ++i) {
+    if (tracked.tasks[i].stage == task_stage::kDone) continue;
+    ++tracked.open_by_group[step.input.tasks[i].group];
   }
   LogEvent(event_id::kStepStarted,
            {{"step", id},
-            {"number", std::to_string(where.input.number)},
-            {"model", where.input.model},
-            {"minimum_version", Text(where.input.minimum_version)},
-            {"tasks", Text(where.input.tasks.size())},
-            {"open", Text(fresh.open_tasks)},
+            {"number", std::to_string(step.input.number)},
+            {"model", step.input.model},
+            {"minimum_version", Text(step.input.minimum_version)},
+            {"tasks", Text(step.input.tasks.size())},
+            {"open", Text(tracked.open_tasks)},
             {"age_ms", std::to_string(age.count())}});
-  for (const auto& [task, text] : where.progress) {
-    const bool is_open = fresh.tasks[task].stage == task_stage::kWaiting;
+  for (const auto& [task, text] : step.progress) {
+    const bool is_open = tracked.tasks[task].stage == task_stage::kWaiting;
     if (is_open && text.is_whole) HandleCompleteText({id, task});
   }
   step_added_.Notify();
@@ -284,14 +284,14 @@
       }));
 }
 
-void dispatcher::DispatchStep(const std::string& id, tracked_step& where,
+void dispatcher::DispatchStep(const std::string& id, tracked_step& tracked,
                               dispatch_pass& pass) {
   const auto found = state_.Steps().find(id);
   if (found == state_.Steps().end()) return;
   const steps::step& step = found->second;
   const time_point now = clock_.Now();
-  for (const uint32_t i : where.order) {
-    tracked_task& task = where.tasks[i];
+  for (const uint32_t i : tracked.order) {
+    tracked_task& task = tracked.tasks[i];
     if (task.stage != task_stage::kWaiting || task.not_before > now) continue;
     if (MustWaitForQuarantine({id, i}, task)) continue;
     // The remaining tasks start when engines respond to the runs that are
@@ -303,8 +303,8 @@
     item.input = RequestOf(item.key);
     item.terms = RouteOf(item.key);
     if (item.input == nullptr || item.terms == nullptr) continue;
-    const int64_t longest = where.expected_tokens[where.order.front()];
-    item.is_long = steps::IsLong(where.expected_tokens[i], longest);
+    const int64_t longest = tracked.expected_tokens[tracked.order.front()];
+    item.is_long = steps::IsLong(tracked.expected_tokens[i], longest);
     if (!TryStart(item, pass)) return;
   }
 }
--- a/packages/store/dispatcher.h
+++ b/packages/store/dispatcher.h
@@ -152,11 +152,11 @@
   struct dispatch_pass;
 
   void SyncSteps();
-  void TrackStep(const std::string& id, const steps::step& where);
+  void TrackStep(const std::string& id, const steps::step& step);
   void ScheduleDispatch();
   void DispatchTasks();
   size_t CountStartingRuns() const;
-  void DispatchStep(const std::string& id, tracked_step& where,
+  void DispatchStep(const std::string& id, tracked_step& tracked,
                     dispatch_pass& pass);
   bool TryStart(const candidate& item, dispatch_pass& pass);
   int64_t MaxStreamsFor(const candidate& item, const engine_pool& pool) const;
--- a/packages/store/dispatcher_results.cc
+++ b/packages/store/dispatcher_results.cc
@@ -124,11 +124,11 @@
 // tasks that need a commit.
 add_progress_command dispatcher::CollectProgress() {
   add_progress_command command;
-  for (auto& [id, where] : steps_) {
+  for (auto& [id, tracked] : steps_) {
     step_progress progress;
     progress.step = id;
-    for (uint32_t i = 0; i < where.tasks.size(); ++i) {
-      tracked_task& task = where.tasks[i];
+    for (uint32_t i = 0; i < tracked.tasks.size(); ++i) {
+      tracked_task& task = tracked.tasks[i];
       if (!NeedsProgressCommit(task)) continue;
       const uint64_t from = task.committed_events;
       steps::task_progress new_progress;
@@ -192,14 +192,14 @@
 
 void dispatcher::FailExpiredTasks() {
   const time_point now = clock_.Now();
-  for (auto& [id, where] : steps_) {
-    for (uint32_t i = 0; i < where.tasks.size(); ++i) {
-      if (where.tasks[i].stage == task_stage::kDone) continue;
+  for (auto& [id, tracked] : steps_) {
+    for (uint32_t i = 0; i < tracked.tasks.size(); ++i) {
+      if (tracked.tasks[i].stage == task_stage::kDone) continue;
       const fleet::route* terms = RouteOf({id, i});
       const bool has_route = terms != nullptr && terms->task_lifetime_ms > 0;
       if (!has_route) continue;
       const milliseconds lifetime(terms->task_lifetime_ms);
-      if (now - where.opened_at < lifetime + kTaskLifetimeSlack) continue;
+      if (now - tracked.opened_at < lifetime + kTaskLifetimeSlack) continue;
       const auto running = runs_.find({id, i});
       if (running != runs_.end()) {
         const std::shared_ptr<run> ending = running->second;
--- a/packages/store/dispatcher_runs.cc
+++ b/packages/store/dispatcher_runs.cc
@@ -225,9 +225,9 @@
   if (weights_version == 0) return;
   // The response may report newer weights than the view of this store.
   engine_record& record = engines_[self.engine.incarnation];
-  uint64_t& known = record.weights[self.model].version;
-  if (weights_version > known) ClearPrompts(record, self.model);
-  known = std::max(known, weights_version);
+  uint64_t& recorded_version = record.weights[self.model].version;
+  if (weights_version > recorded_version) ClearPrompts(record, self.model);
+  recorded_version = std::max(recorded_version, weights_version);
 }
 
 void dispatcher::RemoveRun(const run& ended) {
--- a/packages/store/remote_runner.cc
+++ b/packages/store/remote_runner.cc
@@ -179,9 +179,9 @@
       if (reply.outcome == call_outcome::kDone) break;
       // The leader has removed this session and given its tasks to others, or
       // it is assumed to have done so.
-      const bool is_over = reply.outcome == call_outcome::kNotFound ||
-                           i + 1 == kMaxReportAttempts;
-      if (is_over && input.session == session_) StartNewSession();
+      const bool is_session_ended = reply.outcome == call_outcome::kNotFound ||
+                                    i + 1 == kMaxReportAttempts;
+      if (is_session_ended && input.session == session_) StartNewSession();
     }
   }
 }
--- a/packages/store/step_service.cc
+++ b/packages/store/step_service.cc
@@ -118,17 +118,17 @@
   const time_point until = clock_.Now() + wait;
   for (;;) {
     if (!group_.IsServing()) co_return NotLeader();
-    const steps::step* where = state_.Find(input->step);
-    if (where == nullptr) co_return NoSuch("step");
+    const steps::step* step = state_.Find(input->step);
+    if (step == nullptr) co_return NoSuch("step");
     const bool has_all =
-        where->is_ended || where->results.size() == where->input.tasks.size();
-    const bool has_new_results = where->results.size() > input->after;
+        step->is_ended || step->results.size() == step->input.tasks.size();
+    const bool has_new_results = step->results.size() > input->after;
     if (has_new_results || has_all || clock_.Now() >= until) {
-      const bool is_on_disk = input->after < where->results.size() &&
-                              where->results[input->after].bytes_on_disk > 0;
+      const bool is_on_disk = input->after < step->results.size() &&
+                              step->results[input->after].bytes_on_disk > 0;
       const uint64_t bytes = std::min(
           input->page_bytes, is_on_disk ? kMaxDiskPageBytes : kMaxPageBytes);
-      steps::result_page page = steps::ReadPage(*where, input->after, bytes);
+      steps::result_page page = steps::ReadPage(*step, input->after, bytes);
       if (!ReadOutputs(input->step, page)) {
         LogEvent(event_id::kResultsNotRead,
                  {{"step", input->step}, {"reason", core::LastReason().text}});
@@ -166,16 +166,16 @@
 awaitable<envelope> step_service::ReadTask(std::string payload) {
   const auto input = core::DecodeBinary<peering::read_task_request>(payload);
   if (!input) co_return Malformed();
-  const steps::step* where = state_.Find(input->step);
-  if (where == nullptr) co_return NoSuch("step");
-  for (uint32_t i = 0; i < where->input.tasks.size(); ++i) {
-    const steps::task& task = where->input.tasks[i];
+  const steps::step* step = state_.Find(input->step);
+  if (step == nullptr) co_return NoSuch("step");
+  for (uint32_t i = 0; i < step->input.tasks.size(); ++i) {
+    const steps::task& task = step->input.tasks[i];
     if (task.id != input->task) continue;
     LogEvent(event_id::kTaskBodyRead,
              {{"step", input->step},
               {"task", input->task},
-              {"has_result", steps::HasResult(*where, i) ? "true" : "false"},
-              {"is_ended", where->is_ended ? "true" : "false"},
+              {"has_result", steps::HasResult(*step, i) ? "true" : "false"},
+              {"is_ended", step->is_ended ? "true" : "false"},
               {"bytes",
                std::to_string(task.request ? task.request->body.size() : 0)}});
     if (!task.request) co_return NoSuch("request body: it was discarded");
@@ -187,10 +187,10 @@
 awaitable<envelope> step_service::EndStep(std::string payload) {
   const auto input = core::DecodeBinary<peering::named_item>(payload);
   if (!input) co_return Malformed();
-  const steps::step* where = state_.Find(input->name);
-  if (where == nullptr) co_return NoSuch("step");
-  if (where->is_ended) co_return Done();
-  const size_t results = where->results.size();
+  const steps::step* step = state_.Find(input->name);
+  if (step == nullptr) co_return NoSuch("step");
+  if (step->is_ended) co_return Done();
+  const size_t results = step->results.size();
   end_step_command command;
   command.step = input->name;
   envelope answer =
--- a/packages/store/step_state.cc
+++ b/packages/store/step_state.cc
@@ -39,7 +39,7 @@
   if (input) steps::EndStep(state.steps, input->step);
 }
 
-void ForgetSteps(step_state::content& state, const std::string& payload) {
+void RemoveSteps(step_state::content& state, const std::string& payload) {
   const auto input = core::DecodeBinary<remove_steps_command>(payload);
   if (!input) return;
   steps::RemoveSteps(state.steps, input->ended_before_ms,
@@ -64,7 +64,7 @@
     EndStep(content_, input.payload);
     steps::EvictOldOutputs(content_.steps, output_budget_);
   } else if (input.name == kRemoveStepsCommand) {
-    ForgetSteps(content_, input.payload);
+    RemoveSteps(content_, input.payload);
   } else if (input.name == kRetireCommand) {
     Retire(content_, input.payload);
   }
@@ -83,11 +83,10 @@
   content saved;
   saved.retired = content_.retired;
   uint64_t index = applied;
-  for (const auto& [id, where] : content_.steps) {
+  for (const auto& [id, step] : content_.steps) {
     // A step from a snapshot of the complete state has no log entry. The log is
     // not truncated until that step is removed.
-    const uint64_t before =
-        where.opened_index == 0 ? 0 : where.opened_index - 1;
+    const uint64_t before = step.opened_index == 0 ? 0 : step.opened_index - 1;
     index = std::min(index, before);
   }
   return {index, core::EncodeBinary(saved)};
--- a/packages/store/store_instance.cc
+++ b/packages/store/store_instance.cc
@@ -69,8 +69,8 @@
         follower(caller, FollowerOptions(node)),
         service(io, runtime, group, state, ServiceOptions(node)),
         crashes(io, runtime, pool, follower.View(),
-                [this](fleet::crash_update news) {
-                  return peering::SendCrashUpdate(caller, std::move(news));
+                [this](fleet::crash_update update) {
+                  return peering::SendCrashUpdate(caller, std::move(update));
                 }),
         sender(io, runtime, pool, wire, follower.View(), crashes, node.zone),
         dispatch(io, runtime, group, state, pool, sender, crashes, wire,
--- a/packages/store/task_runner.cc
+++ b/packages/store/task_runner.cc
@@ -110,13 +110,13 @@
   const uint64_t events_before = self.text.events;
   std::optional<run_outcome> event_failure;
   while (const auto fields = steps::ExtractEvent(buffer)) {
-    const steps::event_check verdict =
+    const steps::event_check check =
         steps::AddEvent(self.text, *fields, self.rules, read, version);
-    if (verdict == steps::event_check::kMalformed) {
+    if (check == steps::event_check::kMalformed) {
       event_failure = run_outcome::kBroken;
       break;
     }
-    if (verdict != steps::event_check::kAccepted) {
+    if (check != steps::event_check::kAccepted) {
       event_failure = run_outcome::kUnusable;
       break;
     }
--- a/tests/unit/store/task_runner_test.cc
+++ b/tests/unit/store/task_runner_test.cc
@@ -52,7 +52,7 @@
   bool repeats_id = false;  // all tasks have the same id
   int complete_texts = 0;
   std::vector<std::string> foreign_data;
-  bool is_over = false;
+  bool is_finished = false;
 };
 
 // Runs a task until its text is complete.
@@ -116,7 +116,7 @@
     std::string id = series.repeats_id ? "t" : "t" + std::to_string(i);
     co_await tasks.Run(std::move(id));
   }
-  series.is_over = true;
+  series.is_finished = true;
 }
 
 // Guards against adding the text of another task, or of an earlier run of the
@@ -142,7 +142,7 @@
     std::ostringstream name;
     name << tasks_of_engine.script
          << (tasks_of_engine.repeats_id ? ", same task again" : "");
-    EXPECT_TRUE(tasks_of_engine.is_over) << name.str();
+    EXPECT_TRUE(tasks_of_engine.is_finished) << name.str();
     EXPECT_EQ(tasks_of_engine.complete_texts, kTasks) << name.str();
     for (const std::string& data : tasks_of_engine.foreign_data) {
       ADD_FAILURE() << name.str() << ": " << data;
