--- a/packages/steps/step.h
+++ b/packages/steps/step.h
@@ -1,7 +1,7 @@
 #ifndef HICKORYWOOD_STEPS_STEP_H_
 #define HICKORYWOOD_STEPS_STEP_H_
 
-// Steps as the control group replicates them: the submission of the trainer,
+// Steps as a data group replicates them: the submission of the trainer,
 // and the results in the order in which they became readable.
 
 #include <cstdint>
--- a/tests/unit/steps/steps_test.cc
+++ b/tests/unit/steps/steps_test.cc
@@ -156,10 +156,10 @@
   next.after = 2;
   next.text = {3, {"c"}, {3, 4}};
   AddProgress(table, "s", {next, next});
-  const generated_text& known = table.at("s").progress.at(1);
-  EXPECT_EQ(JoinText(known), "a\nb\nc");
-  EXPECT_EQ(known.events, 3U);
-  EXPECT_EQ(known.versions, std::vector<uint64_t>({3, 4}));
+  const generated_text& stored = table.at("s").progress.at(1);
+  EXPECT_EQ(JoinText(stored), "a\nb\nc");
+  EXPECT_EQ(stored.events, 3U);
+  EXPECT_EQ(stored.versions, std::vector<uint64_t>({3, 4}));
   AddResults(table, "s", {Result(1, "a")}, 0);
   AddProgress(table, "s", {first});
   EXPECT_TRUE(table.at("s").progress.empty());
