--- a/scripts/run-tests.sh
+++ b/scripts/run-tests.sh
@@ -8,10 +8,10 @@
 exclude=()
 [ -n "$red" ] && exclude=(-E "^($red)\$")
 ctest --test-dir "$build" --output-on-failure -j 4 "${exclude[@]}"
-verdict=$?
+status=$?
 if [ -n "$red" ]; then
   echo "known red, not counted:"
   cat KNOWN-RED.txt
   ctest --test-dir "$build" -R "^($red)\$" || true
 fi
-exit $verdict
+exit $status
--- a/tests/integration/access_test.cc
+++ b/tests/integration/access_test.cc
@@ -117,7 +117,7 @@
 }
 
 // A load balancer sends requests to an instance that has started and has no
-// configuration yet. Callers must not be told that the pool or service does not
+// configuration yet. No response may report that the pool or service does not
 // exist: each response states that the request was not run and when to retry.
 TEST(AccessTest, InstanceWithoutConfigurationSendsCallersAway) {
   cluster fleet({{"n1"}});
--- a/tests/integration/crashing_request_test.cc
+++ b/tests/integration/crashing_request_test.cc
@@ -39,13 +39,14 @@
   }
 }
 
-// One request crashed twelve endpoints, all three endpoints of its service four
-// times each; meanwhile all other callers were told that no endpoint is
-// available. The client sent the request again under a new id and at another
-// entry, and the endpoints restarted as new incarnations. Cause: attempts were
-// counted by request id at one entry, so no record of the crashes of a request
-// was shared. Evidence: event HK5007 identifies requests by content, and one
-// digest had all the crashes.
+// Guards against a request that crashes endpoints without limit. One request
+// crashed the three endpoints of its service four times each; meanwhile all
+// other callers got the response that no endpoint is available. The client sent
+// the request again under a new id and at another entry, and the endpoints
+// restarted as new incarnations. Attempts were counted by request id at one
+// entry, so no record of the crashes of a request was shared. Event HK5007
+// identifies requests by content and showed all twelve crashes under one
+// digest.
 TEST(CrashingRequestTest, IsNotSentOnAfterItHasEndedThreeEndpoints) {
   deployment fleet;
   StartWithThreeEndpoints(fleet);
--- a/tests/integration/deployment_test.cc
+++ b/tests/integration/deployment_test.cc
@@ -151,10 +151,10 @@
   }
 }
 
-// Steps that were accepted and ended could not be read after a power cut,
-// although a majority of the stores had them. One control instance is removed
+// Guards against accepted and ended steps that can't be read after a power cut,
+// although a majority of the stores has them. One control instance is removed
 // permanently and replaced by another one at a new address; later a third one
-// loses its disk. The removed instance was still counted as a voter, so the
+// loses its disk. When the removed instance was still counted as a voter, the
 // control group lost its quorum, and an entry that restarts needs the control
 // group to find the stores.
 TEST(DeploymentTest, StepsAreFoundAfterAControlInstanceWasExchanged) {
--- a/tests/soak/soak_callers.cc
+++ b/tests/soak/soak_callers.cc
@@ -115,8 +115,8 @@
   }
   step_record& record = steps_[step];
   for (int turn = 0; turn < kMaxReadsPerStep; ++turn) {
-    const size_t known = record.results.size();
-    const size_t after = random_() % 4 == 0 ? random_() % (known + 1) : known;
+    const size_t count = record.results.size();
+    const size_t after = random_() % 4 == 0 ? random_() % (count + 1) : count;
     Read(DrawEntry(), step, after);
     ReadBody(DrawEntry(), step, static_cast<int>(random_() % kTasks));
     if (record.results.size() == kTasks) break;
@@ -156,8 +156,8 @@
 
 void step_caller::CheckResult(const std::string& step, size_t position,
                               const json& result) {
-  std::map<size_t, json>& known = steps_[step].results;
-  const auto [found, is_new] = known.emplace(position, result);
+  std::map<size_t, json>& recorded = steps_[step].results;
+  const auto [found, is_new] = recorded.emplace(position, result);
   if (!is_new) {
     if (found->second != result) {
       errors_.Add("position " + std::to_string(position) + " of " + step +
@@ -175,7 +175,7 @@
       result.value("output", "") == simulated_endpoints::OutputOf(id) &&
       result.value("versions", json()) == json({1});
   if (!is_ok) errors_.Add("task " + id + " has the result " + result.dump());
-  for (const auto& [other, item] : known) {
+  for (const auto& [other, item] : recorded) {
     if (other != position && item.value("id", "") == id) {
       errors_.Add("task " + id + " is listed twice");
     }
