--- a/packages/net/connection_pool.cc
+++ b/packages/net/connection_pool.cc
@@ -42,9 +42,9 @@
   pooled_connection(asio::io_context& loop, std::string address)
       : address_(std::move(address)), stream_(loop) {}
 
-  awaitable<bool> Connect(tcp::endpoint where, time_point deadline) {
+  awaitable<bool> Connect(tcp::endpoint target, time_point deadline) {
     stream_.expires_at(deadline);
-    const auto [failure] = co_await stream_.async_connect(where, kNoThrow);
+    const auto [failure] = co_await stream_.async_connect(target, kNoThrow);
     is_refused_ = failure == asio::error::connection_refused;
     if (failure) co_return Fail(failure);
     TuneSocket(stream_.socket());
@@ -235,10 +235,10 @@
     acquired->RecordCarried(terms.request_id);
     co_return acquired;
   }
-  const auto where = ParseAddress(address);
-  if (!where) co_return nullptr;
+  const auto parsed_address = ParseAddress(address);
+  if (!parsed_address) co_return nullptr;
   acquired = std::make_unique<pooled_connection>(state->loop, address);
-  const bool is_open = co_await acquired->Connect(*where, deadline);
+  const bool is_open = co_await acquired->Connect(*parsed_address, deadline);
   if (!is_open) {
     core::SetLastReason(core::reason_code::kUnavailable, acquired->Error());
     co_return nullptr;
@@ -250,10 +250,10 @@
 awaitable<connect_outcome> connection_pool::Probe(const std::string& address,
                                                   time_point deadline) {
   const std::shared_ptr<impl> state = impl_;
-  const auto where = ParseAddress(address);
-  if (!where) co_return connect_outcome::kNoAnswer;
+  const auto parsed_address = ParseAddress(address);
+  if (!parsed_address) co_return connect_outcome::kNoAnswer;
   pooled_connection probe(state->loop, address);
-  const bool is_open = co_await probe.Connect(*where, deadline);
+  const bool is_open = co_await probe.Connect(*parsed_address, deadline);
   if (is_open) co_return connect_outcome::kConnected;
   co_return probe.IsRefused() ? connect_outcome::kRefused
                               : connect_outcome::kNoAnswer;
--- a/packages/net/listener.cc
+++ b/packages/net/listener.cc
@@ -202,14 +202,14 @@
 };
 
 bool listener::impl::Start() {
-  const auto where = ParseAddress(options.address);
-  if (!where) return false;
+  const auto parsed_address = ParseAddress(options.address);
+  if (!parsed_address) return false;
   error_code failure;
-  acceptor.open(where->protocol(), failure);
+  acceptor.open(parsed_address->protocol(), failure);
   if (!failure) {
     acceptor.set_option(tcp::acceptor::reuse_address(true), failure);
   }
-  if (!failure) acceptor.bind(*where, failure);
+  if (!failure) acceptor.bind(*parsed_address, failure);
   if (!failure) {
     acceptor.listen(asio::socket_base::max_listen_connections, failure);
   }
