--- a/packages/quarantine/crash_ledger.cc
+++ b/packages/quarantine/crash_ledger.cc
@@ -281,8 +281,8 @@
       changes.push_back({digest, false, release_reason::kExpired});
       continue;
     }
-    // At least as long as the last quarantine, or the next crash would begin
-    // with the shortest quarantine again.
+    // At least as long as the last quarantine. Otherwise the next quarantine
+    // would have the shortest duration again.
     const seconds retention = std::max(ledger.options.retention, item.duration);
     // A process that missed the clearing of crashes counts them for one more
     // quarantine and this retention time.
--- a/tests/unit/quarantine/crash_detector_test.cc
+++ b/tests/unit/quarantine/crash_detector_test.cc
@@ -146,19 +146,20 @@
 class unresponsive_address {
  public:
   unresponsive_address() : socket_(Open()) {
-    sockaddr_in where{};
-    where.sin_family = AF_INET;
-    where.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    socklen_t size = sizeof where;
-    const int bound = bind(socket_, reinterpret_cast<sockaddr*>(&where), size);
+    sockaddr_in address{};
+    address.sin_family = AF_INET;
+    address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+    socklen_t size = sizeof address;
+    const int bound =
+        bind(socket_, reinterpret_cast<sockaddr*>(&address), size);
     EXPECT_EQ(bound, 0);
     EXPECT_EQ(listen(socket_, 0), 0);
-    getsockname(socket_, reinterpret_cast<sockaddr*>(&where), &size);
-    port_ = ntohs(where.sin_port);
+    getsockname(socket_, reinterpret_cast<sockaddr*>(&address), &size);
+    port_ = ntohs(address.sin_port);
     for (int& filler : fillers_) {
       filler = Open();
       const int failure =
-          connect(filler, reinterpret_cast<sockaddr*>(&where), size);
+          connect(filler, reinterpret_cast<sockaddr*>(&address), size);
       EXPECT_TRUE(failure == 0 || errno == EINPROGRESS);
     }
   }
