--- a/packages/routing/stale_connections.cc
+++ b/packages/routing/stale_connections.cc
@@ -5,13 +5,13 @@
 
 // Slightly longer than the idle age at which the HTTP client closes
 // connections.
-constexpr core::milliseconds kSuspicionDuration{21000};
+constexpr core::milliseconds kStaleDuration{21000};
 
 }  // namespace
 
 void RecordTimeout(stale_connections& stale, const std::string& peer,
                    core::time_point now) {
-  stale.until[peer] = now + kSuspicionDuration;
+  stale.until[peer] = now + kStaleDuration;
 }
 
 bool NeedsNewConnection(const stale_connections& stale, const std::string& peer,
