--- a/tests/unit/store/reward_caller_test.cc
+++ b/tests/unit/store/reward_caller_test.cc
@@ -43,17 +43,17 @@
   using handler = std::function<awaitable<void>(net::exchange&)>;
 
   RewardCallerTest() {
-    fleet::route where;
-    where.name = "rewards";
-    where.host = "h";
-    where.path_prefix = "/r/";
-    where.kind = fleet::route_kind::kNonIdempotent;
-    where.services = {{"scorers", 1}};
-    where.timeout_ms = 5000;
-    where.objective_ms = 20000;
-    where.max_attempts = kMaxAttempts;
+    fleet::route route;
+    route.name = "rewards";
+    route.host = "h";
+    route.path_prefix = "/r/";
+    route.kind = fleet::route_kind::kNonIdempotent;
+    route.services = {{"scorers", 1}};
+    route.timeout_ms = 5000;
+    route.objective_ms = 20000;
+    route.max_attempts = kMaxAttempts;
     view_.config.version = 1;
-    view_.config.routes = {where};
+    view_.config.routes = {route};
     caller_.on_finished = [this](const task_key& key, reward_outcome how,
                                  const std::string& score) {
       results_[key.task] = how == reward_outcome::kScored ? score : "abandoned";
