--- a/tests/integration/whole_path_test.cc
+++ b/tests/integration/whole_path_test.cc
@@ -31,7 +31,7 @@
 
 // The coordinator of a step is killed after the first batches. Another instance
 // takes over the step under a higher epoch with the bodies from the second
-// zone, and generates only the missing samples. The trainer notices a short
+// zone, and generates only the missing samples. The trainer observes a short
 // pause and no duplicate or missing sample.
 TEST(WholePathTest, CoordinatorKilledInTheMiddleOfAStep) {
   cluster fleet(ThreeNodes());
--- a/tests/support/deployment.cc
+++ b/tests/support/deployment.cc
@@ -33,11 +33,12 @@
   bool is_free = true;
   for (int i = 0; i < kNodes && is_free; ++i) {
     const int fd = socket(AF_INET, SOCK_STREAM, 0);
-    sockaddr_in where{};
-    where.sin_family = AF_INET;
-    where.sin_port = htons(static_cast<uint16_t>(port));
-    inet_pton(AF_INET, NodeAddress(i).c_str(), &where.sin_addr);
-    is_free = bind(fd, reinterpret_cast<sockaddr*>(&where), sizeof where) == 0;
+    sockaddr_in address{};
+    address.sin_family = AF_INET;
+    address.sin_port = htons(static_cast<uint16_t>(port));
+    inet_pton(AF_INET, NodeAddress(i).c_str(), &address.sin_addr);
+    is_free =
+        bind(fd, reinterpret_cast<sockaddr*>(&address), sizeof address) == 0;
     close(fd);
   }
   return is_free;
@@ -48,14 +49,14 @@
 int PickCommonPort() {
   for (;;) {
     const int fd = socket(AF_INET, SOCK_STREAM, 0);
-    sockaddr_in where{};
-    where.sin_family = AF_INET;
-    socklen_t size = sizeof where;
+    sockaddr_in address{};
+    address.sin_family = AF_INET;
+    socklen_t size = sizeof address;
     const bool is_bound =
-        bind(fd, reinterpret_cast<sockaddr*>(&where), sizeof where) == 0 &&
-        getsockname(fd, reinterpret_cast<sockaddr*>(&where), &size) == 0;
+        bind(fd, reinterpret_cast<sockaddr*>(&address), sizeof address) == 0 &&
+        getsockname(fd, reinterpret_cast<sockaddr*>(&address), &size) == 0;
     close(fd);
-    const int port = ntohs(where.sin_port);
+    const int port = ntohs(address.sin_port);
     if (is_bound && IsFreeEverywhere(port)) return port;
   }
 }
--- a/tests/support/stuttering_server.cc
+++ b/tests/support/stuttering_server.cc
@@ -69,7 +69,7 @@
 
 const char* NameOf(answer_form form) {
   switch (form) {
-    case answer_form::kWhole:
+    case answer_form::kComplete:
       return "complete";
     case answer_form::kCut:
       return "truncated";
@@ -100,7 +100,7 @@
   std::vector<stutter> all;
   for (const auto named : {named_request::kNone, named_request::kRepeated,
                            named_request::kOther}) {
-    for (const auto form : {answer_form::kWhole, answer_form::kCut,
+    for (const auto form : {answer_form::kComplete, answer_form::kCut,
                             answer_form::kWithoutLength}) {
       all.push_back({named, form, second_moment::kImmediate});
       all.push_back({named, form, second_moment::kBeforeNextResponse});
@@ -189,7 +189,7 @@
     std::string bytes = std::exchange(delayed, "");
     if (script.sends_interim) bytes += kInterim;
     bytes +=
-        Encode(input, answer(input, count, false), own, answer_form::kWhole);
+        Encode(input, answer(input, count, false), own, answer_form::kComplete);
     const std::string second =
         Encode(input, answer(input, count, true), script.named, script.form);
     if (script.moment == second_moment::kImmediate) bytes += second;
--- a/tests/support/stuttering_server.h
+++ b/tests/support/stuttering_server.h
@@ -20,7 +20,7 @@
 enum class named_request { kNone, kRepeated, kOther };
 
 enum class answer_form {
-  kWhole,
+  kComplete,
   kCut,            // body is shorter than its Content-Length
   kWithoutLength,  // no Content-Length, and the connection stays open
 };
@@ -35,7 +35,7 @@
 
 struct stutter {
   named_request named = named_request::kRepeated;
-  answer_form form = answer_form::kWhole;
+  answer_form form = answer_form::kComplete;
   second_moment moment = second_moment::kImmediate;
   std::chrono::milliseconds delay{0};
   // Processing time of a request. The first request takes no time.
