--- a/packages/steps/step.h
+++ b/packages/steps/step.h
@@ -123,8 +123,8 @@
 size_t AddResults(step_table& table, const std::string& id,
                   std::vector<task_result> results, uint64_t index);
 
-// Adds text to tasks that have no result. Ignores text that does not continue
-// the stored one.
+// Adds text to tasks that have no result. Text with `after` 0 replaces the
+// stored text. Other text is ignored if it does not continue the stored text.
 void AddProgress(step_table& table, const std::string& id,
                  std::vector<task_progress> progress);
 
