--- a/packages/entry/relay.cc
+++ b/packages/entry/relay.cc
@@ -193,22 +193,22 @@
   routing::endpoint_load_table& loads = sender_.Loads();
   std::set<std::string> tried;
   const quarantine::request_identity identity = quarantine::IdentityOf(input);
-  const quarantine::quarantine_decision found = crashes_.Check(identity);
-  if (found.state == quarantine::quarantine_state::kQuarantined) {
+  const quarantine::quarantine_decision decision = crashes_.Check(identity);
+  if (decision.state == quarantine::quarantine_state::kQuarantined) {
     const std::string reason = "endpoints crash while running this request";
     LogEvent(event_id::kRequestRefused, {{"request", wire_.RequestId(input)},
-                                         {"digest", found.digest},
+                                         {"digest", decision.digest},
                                          {"reason", reason}});
     co_await call.Reply(
-        wire_.EncodeFailure(kTooManyRequests, reason, found.remaining));
+        wire_.EncodeFailure(kTooManyRequests, reason, decision.remaining));
     co_return;
   }
   for (int attempt = 0; attempt <= routing::kMaxRefusals; ++attempt) {
     const routing::choice_input choice{&view_.endpoints, service,
                                        sender_.OwnZone(), &tried, clock_.Now()};
-    const fleet::endpoint* found = routing::ChooseEndpoint(loads, choice);
-    if (found == nullptr) break;
-    const fleet::endpoint target = *found;
+    const fleet::endpoint* chosen = routing::ChooseEndpoint(loads, choice);
+    if (chosen == nullptr) break;
+    const fleet::endpoint target = *chosen;
     tried.insert(target.incarnation);
     open_request open(crashes_, identity, target);
     stream_start stream = co_await StartStream(input, target, deadline);
--- a/packages/routing/request_sender.cc
+++ b/packages/routing/request_sender.cc
@@ -129,18 +129,19 @@
 
 bool request_sender::IsSendable(
     send_state& state, const quarantine::request_identity& identity) const {
-  const quarantine::quarantine_decision found = crashes_.Check(identity);
-  state.is_suspected = found.state == quarantine::quarantine_state::kSuspected;
-  if (found.state != quarantine::quarantine_state::kQuarantined) {
+  const quarantine::quarantine_decision decision = crashes_.Check(identity);
+  state.is_suspected =
+      decision.state == quarantine::quarantine_state::kSuspected;
+  if (decision.state != quarantine::quarantine_state::kQuarantined) {
     return true;
   }
-  state.quarantined_for = found.remaining;
+  state.quarantined_for = decision.remaining;
   state.problem = "endpoints crash while running this request; it is held back";
   LogEvent(event_id::kRequestRefused,
            {{"request", state.terms.id},
-            {"digest", found.digest},
+            {"digest", decision.digest},
             {"reason", state.problem},
-            {"ms", std::to_string(found.remaining.count())}});
+            {"ms", std::to_string(decision.remaining.count())}});
   return false;
 }
 
