--- a/packages/store/dispatcher.cc
+++ b/packages/store/dispatcher.cc
@@ -370,21 +370,21 @@
     if (load.slots > 0) ++engines;
   }
   if (item.is_long) return slots;
-  const tracked_step& step = steps_.at(item.key.step);
+  const tracked_step& tracked = steps_.at(item.key.step);
   const auto pace = paces_.find(item.step->input.model);
   if (pace == paces_.end()) return slots;
   steps::waiting_work work;
   for (const steps::engine_load& load : pool.loads) work.others += load.running;
   int64_t tokens = 0;
-  const int64_t longest = step.expected_tokens[step.order.front()];
-  for (size_t i = 0; i < step.tasks.size(); ++i) {
-    const task_stage stage = step.tasks[i].stage;
-    if (stage == task_stage::kWaiting) tokens += step.expected_tokens[i];
-    const bool is_short = !steps::IsLong(step.expected_tokens[i], longest);
+  const int64_t longest = tracked.expected_tokens[tracked.order.front()];
+  for (size_t i = 0; i < tracked.tasks.size(); ++i) {
+    const task_stage stage = tracked.tasks[i].stage;
+    if (stage == task_stage::kWaiting) tokens += tracked.expected_tokens[i];
+    const bool is_short = !steps::IsLong(tracked.expected_tokens[i], longest);
     if (stage == task_stage::kRunning && is_short) --work.others;
   }
   work.runs = steps::ExpectedTime(pace->second, tokens);
-  work.age = clock_.Now() - step.opened_at;
+  work.age = clock_.Now() - tracked.opened_at;
   work.due = milliseconds(item.terms->due_ms);
   return steps::MaxStreamsForShortTasks(work, engines, slots);
 }
--- a/packages/store/dispatcher_runs.cc
+++ b/packages/store/dispatcher_runs.cc
@@ -279,8 +279,8 @@
     case run_outcome::kFailed: {
       ++task->failures;
       const fleet::route* terms = RouteOf(ended->key);
-      const int64_t most = terms == nullptr ? 1 : terms->max_attempts;
-      if (task->failures >= most) Finish(ended->key, false);
+      const int64_t max_attempts = terms == nullptr ? 1 : terms->max_attempts;
+      if (task->failures >= max_attempts) Finish(ended->key, false);
       break;
     }
     case run_outcome::kNotRun:
