--- a/scripts/lint.py
+++ b/scripts/lint.py
@@ -57,9 +57,9 @@
     common = pathlib.Path(".clang-tidy").read_bytes() + run(["clang-tidy", "--version"]).stdout
     failed = 0
     with concurrent.futures.ThreadPoolExecutor(os.cpu_count()) as pool:
-        for said in pool.map(lambda name: lint(sources[name], build, common), sorted(tracked - set(missing))):
-            failed += bool(said)
-            print(said, end="", flush=True)
+        for output in pool.map(lambda name: lint(sources[name], build, common), sorted(tracked - set(missing))):
+            failed += bool(output)
+            print(output, end="", flush=True)
     for name in missing:
         print(f"{name}: not compiled, so not checked")
     return 1 if failed or missing else 0
