--- a/tests/integration/access_test.cc
+++ b/tests/integration/access_test.cc
@@ -22,7 +22,7 @@
     R"("params":{"payload":"{\"kind\":"}})";
 
 // Requests with a wrong or missing token get 403 or 401 and change nothing.
-TEST(AccessTest, TokensAreAskedFor) {
+TEST(AccessTest, TokensAreRequired) {
   const std::string folder = MakeTemporaryFolder();
   for (const char* kind : {"operators", "endpoints", "trainers", "peers"}) {
     std::ofstream(folder + "/" + kind) << "secret-of-" << kind << "\n";
@@ -119,7 +119,7 @@
 // A load balancer sends requests to an instance that has started and has no
 // configuration yet. No response may report that the pool or service does not
 // exist: each response states that the request was not run and when to retry.
-TEST(AccessTest, InstanceWithoutConfigurationSendsCallersAway) {
+TEST(AccessTest, InstanceWithoutConfigurationRejectsCallers) {
   cluster fleet({{"n1"}});
   fleet.StartNode("n1");
   for (const char* path :
--- a/tests/integration/configuration_test.cc
+++ b/tests/integration/configuration_test.cc
@@ -164,7 +164,7 @@
 // An instance freezes, and changes are accepted without it after its lease has
 // expired. After it resumes, it serves nothing under the old revision: its
 // first responses are rejections or use the new revision.
-TEST(ConfigurationTest, FrozenInstanceWakesUpWithoutServingTheOldRevision) {
+TEST(ConfigurationTest, FrozenInstanceResumesWithoutServingTheOldRevision) {
   cluster fleet(ThreeNodes());
   ASSERT_TRUE(fleet.Start(SmallConfiguration()));
   const std::string frozen = fleet.Leader() == "n3" ? "n2" : "n3";
@@ -193,7 +193,7 @@
 // its last revision and reports that it is cut off. Changes are rejected with
 // the name of the site until an operator excludes it. After the connection is
 // restored, the site catches up.
-TEST(ConfigurationTest, CutOffSiteServesOnAndChangesAreHeld) {
+TEST(ConfigurationTest, IsolatedSiteKeepsServingAndChangesAreBlocked) {
   cluster fleet(TwoSites());
   ASSERT_TRUE(fleet.Start(SmallConfiguration()));
   fleet.StartEndpoint({"b1", "service", "bookings", "south", "y1"});
@@ -244,7 +244,7 @@
 // still counts the site's leases as valid. The change is committed but the site
 // serves the older revision, so the change must not be reported as accepted
 // until the site is reachable again.
-TEST(ConfigurationTest, SiteCutOffRightBeforeAChange) {
+TEST(ConfigurationTest, SiteIsolatedRightBeforeAChange) {
   cluster fleet(TwoSites());
   ASSERT_TRUE(fleet.Start(SmallConfiguration()));
   for (const char* south : {"s1", "s2", "s3"}) {
--- a/tests/integration/crashing_request_test.cc
+++ b/tests/integration/crashing_request_test.cc
@@ -47,7 +47,7 @@
 // entry, so no record of the crashes of a request was shared. Event HK5007
 // identifies requests by content and showed all twelve crashes under one
 // digest.
-TEST(CrashingRequestTest, IsNotSentOnAfterItHasEndedThreeEndpoints) {
+TEST(CrashingRequestTest, IsQuarantinedAfterThreeCrashes) {
   deployment fleet;
   StartWithThreeEndpoints(fleet);
   for (int round = 0; round < kRounds; ++round) {
@@ -68,7 +68,7 @@
 // The control instances are killed one after the other and all at once, and an
 // entry is restarted. The records of the crashes must not be lost with the
 // leader that collected them.
-TEST(CrashingRequestTest, StaysHeldBackWhenLeadersAndEntriesAreLost) {
+TEST(CrashingRequestTest, StaysQuarantinedWhenLeadersAndEntriesCrash) {
   deployment fleet;
   StartWithThreeEndpoints(fleet);
   for (int round = 0; round < kRounds; ++round) {
@@ -104,7 +104,7 @@
 
 // The cause of the crashes is fixed in the endpoints and an operator lifts the
 // quarantine: the request is served at every entry.
-TEST(CrashingRequestTest, IsServedAfterAnOperatorLiftedIt) {
+TEST(CrashingRequestTest, IsServedAfterQuarantineIsLifted) {
   deployment fleet;
   StartWithThreeEndpoints(fleet);
   for (int round = 0; round < kRounds; ++round) {
@@ -134,7 +134,7 @@
 
 // Guards against a quarantine that returns after an operator lifted it: an
 // entry was frozen at that time and reports the old crashes to the next leader.
-TEST(CrashingRequestTest, LiftOutlivesAnEntryThatDidNotHearOfIt) {
+TEST(CrashingRequestTest, LiftSurvivesOutdatedReportsOfAnEntry) {
   deployment fleet;
   StartWithThreeEndpoints(fleet);
   for (int round = 0; round < kRounds; ++round) {
@@ -189,13 +189,13 @@
 
 // A task of a step crashes each engine that starts it; the other tasks of the
 // step must get their results from the remaining engines.
-TEST(CrashingRequestTest, TaskIsHeldBackAndTheOthersComplete) {
+TEST(CrashingRequestTest, CrashingTaskIsQuarantinedAndOthersComplete) {
   RunStepsWithCrashingTask(0);
 }
 
 // Guards against a task that is never quarantined because it produces an event
 // before each crash.
-TEST(CrashingRequestTest, TaskThatGainsTextBeforeEachEndIsHeldBack) {
+TEST(CrashingRequestTest, TaskWithProgressBeforeEachCrashIsQuarantined) {
   RunStepsWithCrashingTask(1);
 }
 
@@ -230,7 +230,7 @@
 
 // Guards against a request that is never quarantined because its callers
 // disconnect before each crash.
-TEST(CrashingRequestTest, IsHeldBackThoughItsCallersLeaveBeforeEachEnd) {
+TEST(CrashingRequestTest, IsQuarantinedWhenCallersDisconnectBeforeEachCrash) {
   deployment fleet;
   StartWithThreeEndpoints(fleet);
   DisconnectBeforeEachCrash(fleet, "/p/x", std::chrono::milliseconds(20), 6);
@@ -238,7 +238,8 @@
 
 // Guards against the same for a stream whose callers have received the first
 // event.
-TEST(CrashingRequestTest, StreamIsHeldBackThoughItsCallersLeaveBeforeEachEnd) {
+TEST(CrashingRequestTest,
+     StreamIsQuarantinedWhenCallersDisconnectBeforeEachCrash) {
   deployment fleet;
   ASSERT_TRUE(fleet.Start());
   fleet.Endpoints().CrashOnBody(deployment::kCrashBody);
@@ -249,7 +250,7 @@
 
 // Guards against a stream that is never quarantined because its callers receive
 // its first events.
-TEST(CrashingRequestTest, StreamThatBeginsBeforeEachEndIsHeldBack) {
+TEST(CrashingRequestTest, StreamWithEventsBeforeEachCrashIsQuarantined) {
   constexpr size_t kEndpoints = 5;
   deployment fleet;
   ASSERT_TRUE(fleet.Start());
--- a/tests/integration/deployment_test.cc
+++ b/tests/integration/deployment_test.cc
@@ -251,7 +251,7 @@
 // An entry is stopped while a request is running at its endpoint. The caller
 // gets its response, the entry reports that it is not ready, and it exits with
 // 0.
-TEST(DeploymentTest, PlannedStopCutsNothingOff) {
+TEST(DeploymentTest, PlannedStopInterruptsNothing) {
   deployment fleet;
   ASSERT_TRUE(fleet.Start());
   fleet.Endpoints().SetWorkTime(std::chrono::milliseconds(1500));
--- a/tests/integration/endpoints_test.cc
+++ b/tests/integration/endpoints_test.cc
@@ -33,7 +33,7 @@
 
 // An endpoint announces to one instance that it leaves. No instance sends it
 // new requests afterwards, and its requests in flight finish.
-TEST(EndpointsTest, LeavingEndpointGetsNoNewWorkAndCutsNothing) {
+TEST(EndpointsTest, LeavingEndpointGetsNoNewWorkAndInterruptsNothing) {
   cluster fleet(ThreeNodes());
   ASSERT_TRUE(fleet.Start(SmallConfiguration()));
   fleet.StartEndpoint({"e1",
@@ -70,7 +70,7 @@
 // An endpoint announces that it leaves while one instance is isolated from all
 // others. The expiry of the lease ends routing at the isolated instance before
 // the connection is restored.
-TEST(EndpointsTest, LeaseEndsRoutingAtAnInstanceThatIsCutOff) {
+TEST(EndpointsTest, ExpiredLeaseStopsRoutingAtAnIsolatedInstance) {
   cluster fleet(ThreeNodes());
   ASSERT_TRUE(fleet.Start(SmallConfiguration()));
   fleet.StartEndpoint({"b1", "service", "bookings"});
@@ -125,7 +125,7 @@
 // request gets a complete response, the process exits with 0, the other
 // instances have a leader immediately, and the step continues elsewhere with
 // each sample delivered once.
-TEST(EndpointsTest, PlannedStopCutsNothingOff) {
+TEST(EndpointsTest, PlannedStopInterruptsNothing) {
   cluster fleet(ThreeNodes());
   ASSERT_TRUE(fleet.Start(SmallConfiguration()));
   for (const char* id : {"e1", "e2"}) {
--- a/tests/integration/recovery_test.cc
+++ b/tests/integration/recovery_test.cc
@@ -70,7 +70,7 @@
 
 // All control instances are killed at once, several times, while changes are
 // made. After each restart all accepted changes are present.
-TEST(RecoveryTest, WholeGroupKilledAgainAndAgain) {
+TEST(RecoveryTest, EntireGroupKilledAgainAndAgain) {
   cluster fleet(ThreeNodes());
   ASSERT_TRUE(fleet.Start(SmallConfiguration()));
   int64_t version = 0;
@@ -143,7 +143,7 @@
 
 // A crash interrupted the last write. The instance removes the incomplete
 // record, reports this, and catches up.
-TEST(RecoveryTest, TornTailIsCutAndReported) {
+TEST(RecoveryTest, IncompleteTailIsRemovedAndReported) {
   cluster fleet(ThreeNodes());
   ASSERT_TRUE(fleet.Start(SmallConfiguration()));
   for (int64_t i = 1; i <= 5; ++i) ASSERT_TRUE(Publish(fleet, "n1", i));
--- a/tests/integration/requests_test.cc
+++ b/tests/integration/requests_test.cc
@@ -218,7 +218,7 @@
 // The endpoint responds that it did not run the call. The caller gets "not
 // run", the claim is released, and the same key runs when the endpoint accepts
 // it.
-TEST_F(RequestsTest, EndpointSaysNotRun) {
+TEST_F(RequestsTest, EndpointReportsNotRun) {
   StartWith({kBooking1});
   Behave("b1", {{"says_not_run", true}});
   const http_response refused = Hold("n1", "key-n", "slot-n");
@@ -296,7 +296,7 @@
 // Guards against a call that crashes each endpoint that runs it and is never
 // quarantined: the call is repeated through every instance, and the endpoints
 // restart.
-TEST_F(RequestsTest, CallThatEndsItsEndpointsIsHeldBack) {
+TEST_F(RequestsTest, CallThatCrashesItsEndpointsIsQuarantined) {
   int crashes = 0;
   CountCrashes(
       {kBooking1, kBooking2},
@@ -315,7 +315,7 @@
 
 // Guards against a generation that crashes its engines and is never
 // quarantined.
-TEST_F(RequestsTest, GenerationThatEndsItsEnginesIsHeldBack) {
+TEST_F(RequestsTest, GenerationThatCrashesItsEnginesIsQuarantined) {
   int crashes = 0;
   CountCrashes(
       {{"e1"}, {"e2"}},
@@ -331,7 +331,7 @@
 // A middlebox between the instance and the endpoint drops the state of all open
 // connections; new ones work. A call that may be repeated succeeds over a new
 // connection within its timeout.
-TEST_F(RequestsTest, SilentConnectionsToAnEndpoint) {
+TEST_F(RequestsTest, StaleConnectionsToAnEndpoint) {
   StartWith({kBooking1, kBooking2}, SmallConfiguration());
   for (int i = 0; i < 6; ++i) {
     ASSERT_EQ(fleet_.Web()
@@ -351,7 +351,7 @@
 // All links between the instances drop the state of their open connections at
 // once. The group keeps a leader and accepts changes within seconds, over new
 // connections.
-TEST_F(RequestsTest, SilentConnectionsBetweenInstances) {
+TEST_F(RequestsTest, StaleConnectionsBetweenInstances) {
   StartWith({});
   for (const char* id : {"n1", "n2", "n3"}) {
     fleet_.Isolate(id, link_fault::kBlackholeExisting);
@@ -370,7 +370,7 @@
 // One engine is always full and the other one is free. Every prompt has a home
 // engine for its cached prefix. Prompts whose home is the full engine must be
 // served by the other engine, immediately and not when their deadline expires.
-TEST_F(RequestsTest, PromptWhoseHomeIsBusyGoesElsewhere) {
+TEST_F(RequestsTest, PromptOfABusyPreferredEngineGoesElsewhere) {
   StartWith({{"e1"},
              {"e2", "engine", "model-a", "north", "z1", {"--most_queued=0"}}});
   for (int i = 0; i < 10; ++i) {
--- a/tests/integration/samples_test.cc
+++ b/tests/integration/samples_test.cc
@@ -109,7 +109,7 @@
 // A swap fails at one engine: it takes its normal time, the engine continues
 // with the old weights, and its announcements report the new ones. The labels
 // follow the versions of the chunks, not the announcements.
-TEST_F(SamplesTest, FailedSwapAndLyingAnnouncement) {
+TEST_F(SamplesTest, FailedSwapAndFalseAnnouncement) {
   StartWith({{"e1"}});
   Behave("e1", {{"swap_fails", true}, {"announced_version", 2}});
   ASSERT_TRUE(Publish(2));
@@ -144,7 +144,7 @@
 // One engine interrupts its streams after some tokens and another one stops
 // sending. The samples are resumed on other engines from the last token, are
 // complete, and are delivered once.
-TEST_F(SamplesTest, CutAndSilentStreamsAreResumed) {
+TEST_F(SamplesTest, InterruptedAndStalledStreamsAreResumed) {
   StartWith({{"e1"}, {"e2"}, {"e3"}});
   Behave("e1", {{"cut_after_tokens", 20}});
   Open("n2", StepSpec("cut", 12, 2));
--- a/tests/integration/task_body_test.cc
+++ b/tests/integration/task_body_test.cc
@@ -111,7 +111,7 @@
 
 // Guards against incomplete or wrong bodies while results are listed, steps end
 // and stores are killed.
-TEST(TaskBodyTest, BodiesAreWholeOrRefusedWhileStepsEndAndStoresAreLost) {
+TEST(TaskBodyTest, BodiesAreCompleteOrRefusedWhileStepsEndAndStoresAreLost) {
   deployment fleet;
   ASSERT_TRUE(fleet.Start());
   fleet.Endpoints().SetEventTime(std::chrono::milliseconds(20));
--- a/tests/soak/soak_test.cc
+++ b/tests/soak/soak_test.cc
@@ -133,7 +133,7 @@
   }
 }
 
-TEST(SoakTest, PromisesHoldUnderDrawnFaults) {
+TEST(SoakTest, GuaranteesHoldUnderRandomFaults) {
   const uint64_t seed = FromEnvironment("SOAK_SEED", 1);
   const std::chrono::seconds length(FromEnvironment("SOAK_SECONDS", 30));
   const std::vector<fault_series> plan = GenerateFaults(seed, length);
--- a/tests/unit/consensus/file_storage_test.cc
+++ b/tests/unit/consensus/file_storage_test.cc
@@ -198,7 +198,7 @@
 
 // A snapshot starts a new log file. The entries that it covers can't be read
 // from the file any more, so no entry without its data may stay in the log.
-TEST_F(FileStorageTest, SnapshotDropsWhatIsOnlyInTheOldFile) {
+TEST_F(FileStorageTest, SnapshotRemovesEntriesOnlyInTheOldFile) {
   WriteThreeEntries();
   file_storage storage(folder_);
   auto state = storage.Load();
--- a/tests/unit/consensus/group_test.cc
+++ b/tests/unit/consensus/group_test.cc
@@ -61,7 +61,7 @@
 // A voter becomes permanently unreachable. The waiting instance replaces it, so
 // that the group tolerates the next loss. When the old voter returns, it waits
 // as well.
-TEST(GroupTest, SilentVoterIsReplaced) {
+TEST(GroupTest, UnreachableVoterIsReplaced) {
   group_simulation group(4, 21, 3);
   for (size_t i = 0; i < 4; ++i) group.Start(i);
   group.Settle(milliseconds(8000));
@@ -87,7 +87,7 @@
 // One voter is temporarily unreachable, and another voter loses its disk while
 // the waiting instance replaces the first one. Only one disk is lost, so the
 // group must continue with all accepted entries once all instances are back.
-TEST(GroupTest, DiskLostWhileASilentVoterIsReplaced) {
+TEST(GroupTest, DiskLostWhileAnUnreachableVoterIsReplaced) {
   for (int step = 0; step < 60; ++step) {
     group_simulation group(4, 23, 3);
     group.Settle(milliseconds(8000));
@@ -119,7 +119,7 @@
 // lost its disk. The group had a target of five voters and had four, so the
 // terminated voter still counted, and only two of four voters were left. The
 // voter lists and the last log line of the leader showed this.
-TEST(GroupTest, VoterThatIsGoneStopsCountingInAGroupWithFreePlaces) {
+TEST(GroupTest, TerminatedVoterIsRemovedFromAGroupBelowItsTarget) {
   for (size_t removed = 0; removed < 3; ++removed) {
     for (size_t wiped = 0; wiped < 4; ++wiped) {
       if (wiped == removed) continue;
@@ -150,7 +150,7 @@
 // disk is lost, at a different moment in each step. Whether the unreachable
 // voter has been removed by then or not: once all instances are back the group
 // must continue with all accepted entries.
-TEST(GroupTest, DiskLostWhileASilentVoterStopsCounting) {
+TEST(GroupTest, DiskLostWhileAnUnreachableVoterIsRemoved) {
   for (int step = 0; step < 60; ++step) {
     group_simulation group(4, 28, 5);
     group.Settle(milliseconds(8000));
@@ -176,7 +176,7 @@
 // doesn't receive the entry that removes it, so its own log still lists it.
 // When it returns with its disk it must become a voter again; otherwise each
 // pause would cost the group one voter.
-TEST(GroupTest, DroppedVoterThatIsBackVotesAgain) {
+TEST(GroupTest, RemovedVoterThatReturnsVotesAgain) {
   for (const size_t wanted : {size_t{0}, size_t{5}}) {
     for (const bool is_restart : {false, true}) {
       group_simulation group(4, 28, wanted);
@@ -197,7 +197,7 @@
 // Four of five voters are running and one of them pauses; then the fifth
 // instance joins. A minute later two instances terminate for good, which five
 // voters tolerate.
-TEST(GroupTest, FiveVotersBearTwoLossesAfterAPauseAtFour) {
+TEST(GroupTest, FiveVotersTolerateTwoLossesAfterAPauseAtFour) {
   group_simulation group(5, 31, 5);
   group.Crash(4);
   group.Settle(milliseconds(8000));
@@ -226,7 +226,7 @@
 // replaced. A minute later one of the other three loses its disk. The group
 // tolerates one loss at a time, because the two terminated voters no longer
 // count.
-TEST(GroupTest, TwoThatAreGoneStopCountingInAGroupOfFive) {
+TEST(GroupTest, TwoTerminatedVotersAreRemovedFromAGroupOfFive) {
   group_simulation group(5, 32, 5);
   group.Settle(milliseconds(8000));
   ASSERT_EQ(group.Voters().size(), 5U);
@@ -247,7 +247,7 @@
 // The only unreachable voter of an odd group may return, so it must not be
 // removed: a group of three reduced to two would tolerate no loss, and a group
 // of five reduced to four only one instead of two.
-TEST(GroupTest, OddGroupKeepsAVoterThatIsSilent) {
+TEST(GroupTest, OddGroupKeepsAnUnreachableVoter) {
   for (const size_t voters : {size_t{3}, size_t{5}}) {
     group_simulation group(voters, 33, 5);
     group.Settle(milliseconds(8000));
@@ -262,7 +262,7 @@
 // the log, so that it can replace a voter at once; the others wait without the
 // log. They must not all be admitted at once when a voter is missing, since
 // each would receive the entire log.
-TEST(GroupTest, FewInstancesThatWaitGetTheEntries) {
+TEST(GroupTest, FewWaitingInstancesReceiveTheLog) {
   group_simulation group(7, 25, 3);
   group.Settle(milliseconds(8000));
   EXPECT_EQ(group.Voters().size(), 3U);
@@ -283,7 +283,7 @@
 
 // The spare instance becomes unreachable: another waiting instance replaces it
 // and is available when a voter is lost.
-TEST(GroupTest, SilentSpareInstanceGivesWay) {
+TEST(GroupTest, UnreachableSpareInstanceIsReplaced) {
   group_simulation group(6, 26, 3);
   group.Settle(milliseconds(8000));
   const std::string spare = group.LearnerNames().at(0);
@@ -317,7 +317,7 @@
 // more. A leader released its lease for a successor, the message to the
 // successor was lost, and the leader's heartbeats prevented an election. The
 // leader must step down if no successor takes over.
-TEST(GroupTest, LostHandOverDoesNotStopTheGroup) {
+TEST(GroupTest, LostLeadershipTransferDoesNotStopTheGroup) {
   group_simulation group(3, 24);
   group.Settle(milliseconds(8000));
   const size_t leader = group.Leader();
--- a/tests/unit/control/configuration_lease_test.cc
+++ b/tests/unit/control/configuration_lease_test.cc
@@ -57,7 +57,7 @@
 // disconnected and serves the old revision. A change must not be accepted
 // before the third instance has it too, or before the instance is considered
 // terminated.
-TEST(ConfigurationLeaseTest, LastInstanceOfADarkSiteIsWaitedFor) {
+TEST(ConfigurationLeaseTest, ChangeWaitsForTheLastInstanceOfAnUnreachableSite) {
   lease_table leases = MakeLeases();
   const std::map<std::string, size_t> sizes = {{"south", 3}};
   time_point now = kStart + milliseconds(2000);
--- a/tests/unit/control/replica_test.cc
+++ b/tests/unit/control/replica_test.cc
@@ -79,7 +79,7 @@
 // Guards against treating a state that can't be read as an empty one: the
 // instance would report that there are no steps, no claims and no
 // configuration.
-TEST_F(ReplicaTest, SnapshotThatCannotBeReadIsNoEmptyState) {
+TEST_F(ReplicaTest, UnreadableSnapshotIsNotAnEmptyState) {
   consensus::stored_state damaged;
   damaged.storage_id = "disk";
   damaged.log.snap.index = 5;
@@ -112,7 +112,7 @@
 
 // The disk is full and the write fails. No proposal may be reported as done,
 // and the process must exit, because the state on disk is undefined.
-TEST_F(ReplicaTest, FailedWriteAnswersNobody) {
+TEST_F(ReplicaTest, FailedWriteAnswersNoProposal) {
   Lead();
   EXPECT_CALL(storage_, Write(_)).WillOnce(Return(false));
   bool is_answered = false;
--- a/tests/unit/core/log_sink_test.cc
+++ b/tests/unit/core/log_sink_test.cc
@@ -44,7 +44,7 @@
 
 // Standard output is not read. Writing must not block; lines are dropped and
 // counted, and a warning replaces less important lines.
-TEST_F(LogSinkTest, NobodyReads) {
+TEST_F(LogSinkTest, DropsLinesWithoutReader) {
   constexpr size_t kCapacity = 10000;
   log_sink sink(pipe_fds_[1], kCapacity);
   const std::string line(99, 'x');
--- a/tests/unit/fleet/configuration_test.cc
+++ b/tests/unit/fleet/configuration_test.cc
@@ -54,7 +54,7 @@
   EXPECT_EQ(CheckConfiguration(no_version).size(), 1U);
 }
 
-TEST(ConfigurationTest, ServicesAreDrawnByWeight) {
+TEST(ConfigurationTest, ServicesAreChosenByWeight) {
   route where = MakeRoute("r", "/", "a");
   where.services = {{"a", 90}, {"b", 0}, {"c", 10}};
   EXPECT_EQ(DrawService(where, 0.0), "a");
--- a/tests/unit/platform/foreign_writer_test.cc
+++ b/tests/unit/platform/foreign_writer_test.cc
@@ -51,7 +51,7 @@
 
 // Heartbeats with missing or mistyped fields are rejected with a reason and do
 // not add an endpoint.
-TEST_F(ForeignWriterTest, HeartbeatsNameNoEndpoint) {
+TEST_F(ForeignWriterTest, MalformedHeartbeatsAddNoEndpoint) {
   const auto expect_refused = [this](const nlohmann::json& beat) {
     const auto bad = Decode<fleet::malformed_call>(
         Post("/v1/instances/i-1/heartbeat", beat.dump()));
@@ -98,7 +98,7 @@
 }
 
 // A malformed leave message is rejected and removes no endpoint.
-TEST_F(ForeignWriterTest, LeavesTakeNobodyOut) {
+TEST_F(ForeignWriterTest, MalformedLeavesRemoveNoEndpoint) {
   for (const char* body : {"x", "5", "[]", "{\"born\":\"5\"}", "{\"born\":-5}",
                            "{\"born\":1.5}"}) {
     EXPECT_EQ(
--- a/tests/unit/platform/protocol_test.cc
+++ b/tests/unit/platform/protocol_test.cc
@@ -63,7 +63,7 @@
 }
 
 // The start time of an endpoint is a top-level field of each of its messages.
-TEST_F(ProtocolTest, StartOfAnEndpoint) {
+TEST_F(ProtocolTest, StartTimeOfAnEndpoint) {
   nlohmann::json beat = nlohmann::json::parse(kHeartbeat);
   beat["born"] = 1764720000123;
   EXPECT_EQ(Decode<fleet::announce_call>(
--- a/tests/unit/store/reward_caller_test.cc
+++ b/tests/unit/store/reward_caller_test.cc
@@ -147,7 +147,7 @@
 
 // Every endpoint responds with 500. The request is sent to as many endpoints as
 // the route allows before the job is abandoned.
-TEST_F(RewardCallerTest, GivenUpAfterTheAttemptsOfTheRoute) {
+TEST_F(RewardCallerTest, AbandonedAfterTheAttemptsOfTheRoute) {
   for (int i = 0; i < 3; ++i) {
     StartEndpoint([](net::exchange& call) -> awaitable<void> {
       net::response answer = SignedResponse(call.Request(), 500, "mark");
@@ -163,7 +163,7 @@
 // Guards against a job that is abandoned because one failed response arrived
 // twice. A reward request that is sent again has the same id, so the second
 // response could be taken for the response to the second request.
-TEST_F(RewardCallerTest, FailureThatIsToldTwiceCountsOnce) {
+TEST_F(RewardCallerTest, RepeatedFailureResponseCountsOnce) {
   const fleet::route common = view_.config.routes[0];
   std::vector<std::unique_ptr<net::stuttering_server>> scorers;
   for (net::stutter script : net::AllStutters()) {
@@ -190,7 +190,7 @@
 
 // The endpoint rejects requests because it is full, for longer than one call
 // retries. This is no failure: the request is sent again until a slot is free.
-TEST_F(RewardCallerTest, FullEndpointsAreNoFailure) {
+TEST_F(RewardCallerTest, RejectionByFullEndpointsIsNoFailure) {
   int refusals = 12;
   StartEndpoint([&refusals](net::exchange& call) -> awaitable<void> {
     net::response answer = SignedResponse(call.Request(), 200, "mark");
@@ -241,7 +241,7 @@
 // All texts of a step become complete at once, and there are more than the
 // endpoints have slots. Half of the slots stay free for callers that can't
 // wait, and the requests that complete a group are sent first.
-TEST_F(RewardCallerTest, HalfOfThePlacesAndFullGroupsFirst) {
+TEST_F(RewardCallerTest, HalfOfTheSlotsAndCompletingRequestsFirst) {
   int running = 0;
   int max_running = 0;
   StartEndpoint([&](net::exchange& call) -> awaitable<void> {
--- a/tests/unit/store/runner_registry_test.cc
+++ b/tests/unit/store/runner_registry_test.cc
@@ -61,7 +61,7 @@
 
 // A store restarts before the leader has detected that it was unreachable. Its
 // new session shows that it has lost its runs.
-TEST(RunnerRegistryTest, ANewSessionLosesTheRunsOfTheOld) {
+TEST(RunnerRegistryTest, NewSessionRemovesTheRunsOfTheOld) {
   runner_registry registry = MakeRegistry();
   EXPECT_EQ(ApplyPoll(registry, MakePoll("a", 0, "two"), kStart), (runs{1, 2}));
   EXPECT_TRUE(registry.runners.at("a").runs.empty());
@@ -69,7 +69,7 @@
 
 // A store is suspended, or is disconnected from the leader but not from the
 // engines.
-TEST(RunnerRegistryTest, ASilentRunnerLosesItsRuns) {
+TEST(RunnerRegistryTest, RunsOfUnreachableRunnerAreRemoved) {
   runner_registry registry = MakeRegistry();
   EXPECT_TRUE(
       RemoveUnreachable(registry, kStart + kRunnerContactTimeout).empty());
@@ -83,14 +83,14 @@
 // A runner that can't reach the leader cancels its runs before the leader gives
 // them to others. A task that runs twice occupies a slot that another task
 // could use.
-TEST(RunnerRegistryTest, ARunnerGivesUpBeforeItsLeaderDoes) {
+TEST(RunnerRegistryTest, RunnerTimesOutBeforeItsLeader) {
   EXPECT_LT(kLeaderContactTimeout, kRunnerContactTimeout);
   EXPECT_LT(kBusyPollWait + kReplyTimeout, kLeaderContactTimeout);
 }
 
 // The process of a runner is killed and its connection closes. The leader
 // detects this without waiting for the contact timeout.
-TEST(RunnerRegistryTest, AnAbandonedQuestionIsNoticedSoon) {
+TEST(RunnerRegistryTest, ClosedPollIsDetectedSoon) {
   runner_registry registry = MakeRegistry();
   ApplyPoll(registry, MakePoll("a", 1), kStart);
   EXPECT_TRUE(RemoveUnreachable(registry, kStart + kIdlePollWait).empty());
@@ -160,7 +160,7 @@
 // An instance loses leadership and wins it again while a poll of a runner
 // waits. The registry does not contain the runner then, and the leader gives it
 // no task until the next poll. So the waiting poll must be answered at once.
-TEST(RunnerRegistryTest, AForgottenRunnerIsNotKnown) {
+TEST(RunnerRegistryTest, RemovedRunnerHasNoSession) {
   runner_registry registry = MakeRegistry();
   EXPECT_TRUE(HasSession(registry, "a", "one"));
   EXPECT_FALSE(HasSession(registry, "a", "two"));
--- a/tests/unit/store/step_state_test.cc
+++ b/tests/unit/store/step_state_test.cc
@@ -87,7 +87,7 @@
 // Outputs of ended steps beyond the budget are evicted from memory, the oldest
 // first. A result then contains the index of its log entry and the size of its
 // output. Outputs of open steps stay in memory, whatever their size.
-TEST(StepStateTest, OldOutputsOfEndedStepsAreLeftOnDisk) {
+TEST(StepStateTest, OldOutputsOfEndedStepsAreEvicted) {
   step_state state(kOutputBudgetBytes);
   uint64_t index = 0;
   for (const char* id : {"open", "old", "new"}) {
