--- a/tests/soak/stuttering_fleet.cc
+++ b/tests/soak/duplicate_response_endpoints.cc
@@ -1,4 +1,4 @@
-#include "soak/stuttering_fleet.h"
+#include "soak/duplicate_response_endpoints.h"
 
 #include <boost/asio/executor_work_guard.hpp>
 #include <boost/asio/post.hpp>
@@ -21,23 +21,23 @@
 
 }  // namespace
 
-struct stuttering_fleet::endpoint {
+struct duplicate_response_endpoints::endpoint {
   std::string incarnation;
   std::string service;
   std::string address;
   int sequence = 0;
   int orders = 0;
   int64_t version = 1;
-  std::unique_ptr<net::stuttering_server> server;
+  std::unique_ptr<net::duplicate_response_server> server;
 };
 
-stuttering_fleet::stuttering_fleet(uint64_t seed)
+duplicate_response_endpoints::duplicate_response_endpoints(uint64_t seed)
     : random_(seed), thread_([this] {
         const auto guard = boost::asio::make_work_guard(loop_);
         loop_.run();
       }) {}
 
-stuttering_fleet::~stuttering_fleet() {
+duplicate_response_endpoints::~duplicate_response_endpoints() {
   OnLoop([this] {
     for (const auto& item : endpoints_) item.second->server.reset();
   });
@@ -45,7 +45,7 @@
   thread_.join();
 }
 
-void stuttering_fleet::OnLoop(const std::function<void()>& work) {
+void duplicate_response_endpoints::OnLoop(const std::function<void()>& work) {
   std::promise<void> done;
   boost::asio::post(loop_, [&work, &done] {
     work();
@@ -54,15 +54,15 @@
   done.get_future().get();
 }
 
-void stuttering_fleet::Start(const std::string& service) {
+void duplicate_response_endpoints::Start(const std::string& service) {
   OnLoop([this, &service] { Open(service); });
 }
 
-void stuttering_fleet::Open(const std::string& service) {
+void duplicate_response_endpoints::Open(const std::string& service) {
   auto created = std::make_shared<endpoint>();
   created->service = service;
   // The server's callback owns the endpoint until the server is reset.
-  created->server = std::make_unique<net::stuttering_server>(
+  created->server = std::make_unique<net::duplicate_response_server>(
       loop_, [this](const net::request&) { return RandomScript(); },
       [this, self = created](const net::request& input, int /*count*/,
                              bool is_second) {
@@ -74,7 +74,7 @@
   endpoints_[created->incarnation] = created;
 }
 
-void stuttering_fleet::Replace(const std::string& service) {
+void duplicate_response_endpoints::Replace(const std::string& service) {
   OnLoop([this, &service] {
     std::shared_ptr<endpoint> terminated;
     {
@@ -89,17 +89,16 @@
   });
 }
 
-net::stutter stuttering_fleet::RandomScript() {
+net::duplicate_response duplicate_response_endpoints::RandomScript() {
   const std::lock_guard<std::mutex> lock(mutex_);
-  net::stutter script = scripts_[random_() % scripts_.size()];
+  net::duplicate_response script = scripts_[random_() % scripts_.size()];
   if (random_() % 2 == 0) script.moment = net::second_moment::kNever;
   script.work = kWorkTimes[random_() % std::size(kWorkTimes)];
   return script;
 }
 
-net::scripted_answer stuttering_fleet::Answer(endpoint& self,
-                                              const net::request& input,
-                                              bool is_second) {
+net::scripted_answer duplicate_response_endpoints::Answer(
+    endpoint& self, const net::request& input, bool is_second) {
   const std::lock_guard<std::mutex> lock(mutex_);
   if (net::Find(input.headers, "X-Expect-Instance") != self.incarnation) {
     return {kMisdirected, ""};
@@ -120,7 +119,7 @@
   return {200, "echo " + input.body};
 }
 
-std::map<std::string, std::string> stuttering_fleet::Heartbeats() {
+std::map<std::string, std::string> duplicate_response_endpoints::Heartbeats() {
   const std::lock_guard<std::mutex> lock(mutex_);
   std::map<std::string, std::string> bodies;
   for (const auto& [incarnation, item] : endpoints_) {
@@ -130,7 +129,7 @@
   return bodies;
 }
 
-int stuttering_fleet::RunsOf(const std::string& request_id) {
+int duplicate_response_endpoints::RunsOf(const std::string& request_id) {
   const std::lock_guard<std::mutex> lock(mutex_);
   const auto found = runs_.find(request_id);
   return found == runs_.end() ? 0 : found->second;
--- a/tests/soak/stuttering_fleet.h
+++ b/tests/soak/duplicate_response_endpoints.h
@@ -1,5 +1,5 @@
-#ifndef HICKORYWOOD_TESTS_SOAK_STUTTERING_FLEET_H_
-#define HICKORYWOOD_TESTS_SOAK_STUTTERING_FLEET_H_
+#ifndef HICKORYWOOD_TESTS_SOAK_DUPLICATE_RESPONSE_ENDPOINTS_H_
+#define HICKORYWOOD_TESTS_SOAK_DUPLICATE_RESPONSE_ENDPOINTS_H_
 
 // Endpoints that send two responses, in a random way for each request. The
 // content of the responses is the same as that of the simulated endpoints of a
@@ -14,16 +14,17 @@
 #include <string>
 #include <thread>
 
-#include "support/stuttering_server.h"
+#include "support/duplicate_response_server.h"
 
 namespace hickorywood::testing {
 
-class stuttering_fleet {
+class duplicate_response_endpoints {
  public:
-  explicit stuttering_fleet(uint64_t seed);
-  ~stuttering_fleet();
-  stuttering_fleet(const stuttering_fleet&) = delete;
-  stuttering_fleet& operator=(const stuttering_fleet&) = delete;
+  explicit duplicate_response_endpoints(uint64_t seed);
+  ~duplicate_response_endpoints();
+  duplicate_response_endpoints(const duplicate_response_endpoints&) = delete;
+  duplicate_response_endpoints& operator=(const duplicate_response_endpoints&) =
+      delete;
 
   void Start(const std::string& service);
   // Terminates an endpoint of the service with all its connections and starts a
@@ -38,7 +39,7 @@
   struct endpoint;
 
   void Open(const std::string& service);
-  net::stutter RandomScript();
+  net::duplicate_response RandomScript();
   net::scripted_answer Answer(endpoint& self, const net::request& input,
                               bool is_second);
   void OnLoop(const std::function<void()>& work);
@@ -46,7 +47,8 @@
   boost::asio::io_context loop_;
   std::mutex mutex_;
   std::mt19937_64 random_;
-  const std::vector<net::stutter> scripts_ = net::AllStutters();
+  const std::vector<net::duplicate_response> scripts_ =
+      net::AllDuplicateResponses();
   std::map<std::string, std::shared_ptr<endpoint>> endpoints_;
   std::map<std::string, int> runs_;
   int started_ = 0;
@@ -55,4 +57,4 @@
 
 }  // namespace hickorywood::testing
 
-#endif  // HICKORYWOOD_TESTS_SOAK_STUTTERING_FLEET_H_
+#endif  // HICKORYWOOD_TESTS_SOAK_DUPLICATE_RESPONSE_ENDPOINTS_H_
--- a/tests/soak/soak_test.cc
+++ b/tests/soak/soak_test.cc
@@ -13,9 +13,9 @@
 #include <string>
 #include <thread>
 
+#include "soak/duplicate_response_endpoints.h"
 #include "soak/fault_plan.h"
 #include "soak/soak_callers.h"
-#include "soak/stuttering_fleet.h"
 #include "support/deployment.h"
 
 namespace hickorywood::testing {
@@ -36,7 +36,7 @@
 // finished, and no other fault starts during a power cut.
 class fault_injector {
  public:
-  fault_injector(deployment& fleet, stuttering_fleet& endpoints,
+  fault_injector(deployment& fleet, duplicate_response_endpoints& endpoints,
                  violation_log& errors)
       : fleet_(fleet), endpoints_(endpoints), errors_(errors) {}
 
@@ -111,7 +111,7 @@
   }
 
   deployment& fleet_;
-  stuttering_fleet& endpoints_;
+  duplicate_response_endpoints& endpoints_;
   violation_log& errors_;
   std::shared_mutex faults_;
 };
@@ -119,7 +119,7 @@
 // Checks that requests answered "not run" did not run, and that requests that
 // may run at most once did so.
 void CheckRuns(const std::list<plain_caller>& callers, deployment& fleet,
-               stuttering_fleet& endpoints, violation_log& errors) {
+               duplicate_response_endpoints& endpoints, violation_log& errors) {
   const auto runs = [&](const std::string& id) {
     return fleet.Endpoints().RunsOf(id) + endpoints.RunsOf(id);
   };
@@ -143,7 +143,7 @@
       std::cout << series.name << ": " << item << "\n";
     }
   }
-  stuttering_fleet endpoints(seed);
+  duplicate_response_endpoints endpoints(seed);
   deployment fleet;
   fleet.extra_heartbeats = [&endpoints] { return endpoints.Heartbeats(); };
   for (const char* service : {"echo", "echo", "engines", "engines"}) {
--- a/tests/support/stuttering_server.cc
+++ b/tests/support/duplicate_response_server.cc
@@ -1,4 +1,4 @@
-#include "support/stuttering_server.h"
+#include "support/duplicate_response_server.h"
 
 #include <boost/asio/as_tuple.hpp>
 #include <boost/asio/awaitable.hpp>
@@ -81,7 +81,7 @@
 
 }  // namespace
 
-std::ostream& operator<<(std::ostream& out, const stutter& input) {
+std::ostream& operator<<(std::ostream& out, const duplicate_response& input) {
   out << NameOf(input.named) << ", " << NameOf(input.form) << ", ";
   switch (input.moment) {
     case second_moment::kNever:
@@ -96,8 +96,8 @@
   return out;
 }
 
-std::vector<stutter> AllStutters() {
-  std::vector<stutter> all;
+std::vector<duplicate_response> AllDuplicateResponses() {
+  std::vector<duplicate_response> all;
   for (const auto named : {named_request::kNone, named_request::kRepeated,
                            named_request::kOther}) {
     for (const auto form : {answer_form::kComplete, answer_form::kCut,
@@ -113,7 +113,7 @@
   return all;
 }
 
-struct stuttering_server::impl : std::enable_shared_from_this<impl> {
+struct duplicate_response_server::impl : std::enable_shared_from_this<impl> {
   impl(asio::io_context& io, script_maker plan, scripted_maker make)
       : loop(io),
         scripts(std::move(plan)),
@@ -135,7 +135,7 @@
   int connections = 0;
 };
 
-awaitable<void> stuttering_server::impl::Accept() {
+awaitable<void> duplicate_response_server::impl::Accept() {
   const auto self = shared_from_this();
   for (;;) {
     auto [failure, socket] = co_await acceptor.async_accept(kNoThrow);
@@ -148,21 +148,21 @@
   }
 }
 
-void stuttering_server::impl::Close() {
+void duplicate_response_server::impl::Close() {
   acceptor.close();
   for (const auto& item : sockets) {
     if (const auto socket = item.lock()) socket->close();
   }
 }
 
-awaitable<void> stuttering_server::impl::WriteLate(
+awaitable<void> duplicate_response_server::impl::WriteLate(
     std::shared_ptr<tcp::socket> socket, std::string bytes,
     milliseconds delay) {
   co_await Sleep(delay);
   co_await asio::async_write(*socket, asio::buffer(bytes), kNoThrow);
 }
 
-awaitable<void> stuttering_server::impl::Serve(
+awaitable<void> duplicate_response_server::impl::Serve(
     std::shared_ptr<tcp::socket> socket) {
   const auto self = shared_from_this();
   boost::beast::flat_buffer buffer;
@@ -180,12 +180,12 @@
       input.headers.push_back(
           {std::string(field.name_string()), std::string(field.value())});
     }
-    const stutter script = scripts(input);
+    const duplicate_response script = scripts(input);
     if (count > 1) {
       co_await Sleep(script.work);
     }
-    const named_request own =
-        script.names_own ? named_request::kRepeated : named_request::kNone;
+    const named_request own = script.contains_own_id ? named_request::kRepeated
+                                                     : named_request::kNone;
     std::string bytes = std::exchange(delayed, "");
     if (script.sends_interim) bytes += kInterim;
     bytes +=
@@ -202,9 +202,10 @@
   }
 }
 
-stuttering_server::stuttering_server(asio::io_context& loop,
-                                     const stutter& script, answer_maker answer)
-    : stuttering_server(
+duplicate_response_server::duplicate_response_server(
+    asio::io_context& loop, const duplicate_response& script,
+    answer_maker answer)
+    : duplicate_response_server(
           loop, [script](const request&) { return script; },
           [script, answer = std::move(answer)](const request& input, int count,
                                                bool is_second) {
@@ -212,22 +213,24 @@
             return scripted_answer{status, answer(input, count, is_second)};
           }) {}
 
-stuttering_server::stuttering_server(asio::io_context& loop,
-                                     script_maker scripts,
-                                     scripted_maker answer)
+duplicate_response_server::duplicate_response_server(asio::io_context& loop,
+                                                     script_maker scripts,
+                                                     scripted_maker answer)
     : impl_(
           std::make_shared<impl>(loop, std::move(scripts), std::move(answer))) {
   asio::co_spawn(loop, impl_->Accept(), asio::detached);
 }
 
-stuttering_server::~stuttering_server() { impl_->Close(); }
+duplicate_response_server::~duplicate_response_server() { impl_->Close(); }
 
-std::string stuttering_server::Address() const {
+std::string duplicate_response_server::Address() const {
   return "127.0.0.1:" + std::to_string(impl_->acceptor.local_endpoint().port());
 }
 
-int stuttering_server::Requests() const { return impl_->requests; }
+int duplicate_response_server::Requests() const { return impl_->requests; }
 
-int stuttering_server::Connections() const { return impl_->connections; }
+int duplicate_response_server::Connections() const {
+  return impl_->connections;
+}
 
 }  // namespace hickorywood::net
--- a/tests/support/stuttering_server.h
+++ b/tests/support/duplicate_response_server.h
@@ -1,5 +1,5 @@
-#ifndef HICKORYWOOD_TESTS_SUPPORT_STUTTERING_SERVER_H_
-#define HICKORYWOOD_TESTS_SUPPORT_STUTTERING_SERVER_H_
+#ifndef HICKORYWOOD_TESTS_SUPPORT_DUPLICATE_RESPONSE_SERVER_H_
+#define HICKORYWOOD_TESTS_SUPPORT_DUPLICATE_RESPONSE_SERVER_H_
 
 // A server on plain sockets that sends two responses to each request, according
 // to a script.
@@ -33,28 +33,28 @@
                         // connection
 };
 
-struct stutter {
+struct duplicate_response {
   named_request named = named_request::kRepeated;
   answer_form form = answer_form::kComplete;
   second_moment moment = second_moment::kImmediate;
   std::chrono::milliseconds delay{0};
   // Processing time of a request. The first request takes no time.
   std::chrono::milliseconds work{0};
-  bool names_own = true;       // first responses contain the request id
-  bool sends_interim = false;  // sends interim 1xx responses first
-  int failures = 0;            // number of initial requests that get status 500
+  bool contains_own_id = true;  // first responses contain the request id
+  bool sends_interim = false;   // sends interim 1xx responses first
+  int failures = 0;  // number of initial requests that get status 500
 };
-std::ostream& operator<<(std::ostream& out, const stutter& input);
+std::ostream& operator<<(std::ostream& out, const duplicate_response& input);
 
 // All combinations of request id, form and time of a second response.
-std::vector<stutter> AllStutters();
+std::vector<duplicate_response> AllDuplicateResponses();
 
 struct scripted_answer {
   int status = 200;
   std::string body;
 };
 
-class stuttering_server {
+class duplicate_response_server {
  public:
   // Returns the body of the first or second response to the request with the
   // number `count`, starting at 1.
@@ -63,16 +63,18 @@
   // Like answer_maker, with a status, and with a script for each request.
   using scripted_maker = std::function<scripted_answer(
       const request& input, int count, bool is_second)>;
-  using script_maker = std::function<stutter(const request& input)>;
+  using script_maker = std::function<duplicate_response(const request& input)>;
 
-  stuttering_server(boost::asio::io_context& loop, const stutter& script,
-                    answer_maker answer);
-  stuttering_server(boost::asio::io_context& loop, script_maker scripts,
-                    scripted_maker answer);
+  duplicate_response_server(boost::asio::io_context& loop,
+                            const duplicate_response& script,
+                            answer_maker answer);
+  duplicate_response_server(boost::asio::io_context& loop, script_maker scripts,
+                            scripted_maker answer);
   // Closes all connections.
-  ~stuttering_server();
-  stuttering_server(const stuttering_server&) = delete;
-  stuttering_server& operator=(const stuttering_server&) = delete;
+  ~duplicate_response_server();
+  duplicate_response_server(const duplicate_response_server&) = delete;
+  duplicate_response_server& operator=(const duplicate_response_server&) =
+      delete;
 
   std::string Address() const;
   // Number of received requests and of accepted connections.
@@ -87,4 +89,4 @@
 
 }  // namespace hickorywood::net
 
-#endif  // HICKORYWOOD_TESTS_SUPPORT_STUTTERING_SERVER_H_
+#endif  // HICKORYWOOD_TESTS_SUPPORT_DUPLICATE_RESPONSE_SERVER_H_
--- a/tests/unit/entry/relay_test.cc
+++ b/tests/unit/entry/relay_test.cc
@@ -16,7 +16,7 @@
 
 #include "net/call.h"
 #include "platform/protocol.h"
-#include "support/stuttering_server.h"
+#include "support/duplicate_response_server.h"
 
 namespace hickorywood::entry {
 namespace {
@@ -113,7 +113,7 @@
 
 // Results of a series of consecutive requests through one entry.
 struct series {
-  net::stutter script;
+  net::duplicate_response script;
   bool repeats_id = false;  // all requests have the same id
   size_t served = 0;
   std::vector<std::string> wrong;
@@ -121,7 +121,7 @@
 };
 
 awaitable<void> SendSeries(io_context& loop, series& self) {
-  net::stuttering_server endpoint(loop, self.script, OwnAnswer);
+  net::duplicate_response_server endpoint(loop, self.script, OwnAnswer);
   const milliseconds timeout = self.script.work + kSlack;
   test_entry entry(loop, {endpoint.Address()}, timeout, timeout);
   int number = 0;
@@ -151,7 +151,7 @@
 TEST(RelayTest, SecondAnswersReachNoCaller) {
   io_context loop;
   std::list<series> all;
-  for (const net::stutter& script : net::AllStutters()) {
+  for (const net::duplicate_response& script : net::AllDuplicateResponses()) {
     for (const bool repeats_id : {false, true}) {
       all.push_back({script, repeats_id});
     }
@@ -177,8 +177,8 @@
 
 // Sends requests that run longer than the delay after which a copy is sent.
 awaitable<void> SendWithCopies(io_context& loop, series& self) {
-  net::stuttering_server first(loop, self.script, OwnAnswer);
-  net::stuttering_server second(loop, self.script, OwnAnswer);
+  net::duplicate_response_server first(loop, self.script, OwnAnswer);
+  net::duplicate_response_server second(loop, self.script, OwnAnswer);
   const milliseconds timeout = self.script.work + kSlack;
   test_entry entry(loop, {first.Address(), second.Address()}, timeout,
                    kHedgedObjective);
@@ -204,7 +204,7 @@
 TEST(RelayTest, SecondAnswersReachNoCallerOfCopies) {
   io_context loop;
   std::list<series> all;
-  for (net::stutter script : net::AllStutters()) {
+  for (net::duplicate_response script : net::AllDuplicateResponses()) {
     script.work = std::max(script.work, kHedgedWork);
     all.push_back({script});
   }
--- a/tests/unit/net/second_answer_test.cc
+++ b/tests/unit/net/second_answer_test.cc
@@ -14,7 +14,7 @@
 
 #include "net/call.h"
 #include "net/event.h"
-#include "support/stuttering_server.h"
+#include "support/duplicate_response_server.h"
 
 namespace hickorywood::net {
 namespace {
@@ -39,7 +39,7 @@
 
 // A series of calls to one server.
 struct series {
-  stutter script;
+  duplicate_response script;
   bool repeats_id = false;  // all calls have the same id
   bool waits = false;       // until the second answer has arrived
   int answered = 0;
@@ -48,7 +48,7 @@
 };
 
 awaitable<void> MakeCalls(io_context& loop, series& self) {
-  stuttering_server server(loop, self.script, OwnAnswer);
+  duplicate_response_server server(loop, self.script, OwnAnswer);
   connection_pool pool(loop);
   for (int i = 0; i < kCalls; ++i) {
     request input;
@@ -88,7 +88,7 @@
 TEST(SecondAnswerTest, CallsGetTheirOwnAnswerOrNone) {
   io_context loop;
   std::list<series> all;
-  for (const stutter& script : AllStutters()) {
+  for (const duplicate_response& script : AllDuplicateResponses()) {
     for (const bool repeats_id : {false, true}) {
       for (const bool waits : {false, true}) {
         all.push_back({script, repeats_id, waits});
@@ -119,11 +119,11 @@
   int connections = 0;
 };
 
-call_count CallSeveralTimes(const stutter& script,
+call_count CallSeveralTimes(const duplicate_response& script,
                             const std::vector<std::string>& ids,
                             pool_options limits = {}) {
   io_context loop;
-  stuttering_server server(loop, script, OwnAnswer);
+  duplicate_response_server server(loop, script, OwnAnswer);
   connection_pool pool(loop, limits);
   call_count count;
   const auto call_all = [&]() -> awaitable<void> {
@@ -151,7 +151,7 @@
 // Guards against a new connection for each call when answers contain the id of
 // their request, and against reuse when they don't.
 TEST(SecondAnswerTest, ConnectionsAreReusedWhenAnswersContainTheRequestId) {
-  stutter script;
+  duplicate_response script;
   script.moment = second_moment::kNever;
   call_count count = CallSeveralTimes(script, {"a", "b", "c", "d"});
   EXPECT_EQ(count.answered, 4);
@@ -168,7 +168,7 @@
   limits.requests_per_connection = 2;
   count = CallSeveralTimes(script, {"a", "b", "c", "d"}, limits);
   EXPECT_EQ(count.connections, 2);
-  script.names_own = false;
+  script.contains_own_id = false;
   count = CallSeveralTimes(script, {"a", "b", "c"});
   EXPECT_EQ(count.answered, 3);
   EXPECT_EQ(count.connections, 3);
@@ -177,7 +177,7 @@
 // Guards against an interim answer that is accepted as the final answer; the
 // final answer would then be read as the answer to the next request.
 TEST(SecondAnswerTest, InterimAnswersAreSkipped) {
-  stutter script;
+  duplicate_response script;
   script.moment = second_moment::kNever;
   script.sends_interim = true;
   const call_count count = CallSeveralTimes(script, {"a", "b", "c"});
--- a/tests/unit/peering/leader_caller_test.cc
+++ b/tests/unit/peering/leader_caller_test.cc
@@ -16,7 +16,7 @@
 #include "core/binary.h"
 #include "net/listener.h"
 #include "peering/peer_interface.h"
-#include "support/stuttering_server.h"
+#include "support/duplicate_response_server.h"
 
 namespace hickorywood::peering {
 namespace {
@@ -43,14 +43,14 @@
 }
 
 struct series {
-  net::stutter script;
+  net::duplicate_response script;
   int answered = 0;
   std::vector<std::string> wrong;
   bool is_finished = false;
 };
 
 awaitable<void> MakeCalls(io_context& loop, series& self) {
-  net::stuttering_server peer(loop, self.script, Answer);
+  net::duplicate_response_server peer(loop, self.script, Answer);
   net::connection_pool pool(loop);
   leader_caller caller(pool, {});
   for (int i = 0; i < kCalls; ++i) {
@@ -97,7 +97,8 @@
 // another call.
 TEST(LeaderCallerTest, SecondResponsesAreIgnored) {
   std::list<series> all;
-  for (const net::stutter& script : net::AllStutters()) all.push_back({script});
+  for (const net::duplicate_response& script : net::AllDuplicateResponses())
+    all.push_back({script});
   RunAll(all);
 }
 
@@ -105,8 +106,8 @@
 // release, whose responses contain no call id.
 TEST(LeaderCallerTest, ResponsesWithoutCallIdAreAccepted) {
   std::list<series> all;
-  for (net::stutter script : net::AllStutters()) {
-    script.names_own = false;
+  for (net::duplicate_response script : net::AllDuplicateResponses()) {
+    script.contains_own_id = false;
     all.push_back({script});
   }
   RunAll(all);
--- a/tests/unit/store/reward_caller_test.cc
+++ b/tests/unit/store/reward_caller_test.cc
@@ -15,7 +15,7 @@
 #include "net/event.h"
 #include "net/listener.h"
 #include "platform/protocol.h"
-#include "support/stuttering_server.h"
+#include "support/duplicate_response_server.h"
 
 namespace hickorywood::store {
 namespace {
@@ -165,10 +165,10 @@
 // response could be taken for the response to the second request.
 TEST_F(RewardCallerTest, RepeatedFailureResponseCountsOnce) {
   const fleet::route common = view_.config.routes[0];
-  std::vector<std::unique_ptr<net::stuttering_server>> scorers;
-  for (net::stutter script : net::AllStutters()) {
+  std::vector<std::unique_ptr<net::duplicate_response_server>> scorers;
+  for (net::duplicate_response script : net::AllDuplicateResponses()) {
     script.failures = 1;
-    scorers.push_back(std::make_unique<net::stuttering_server>(
+    scorers.push_back(std::make_unique<net::duplicate_response_server>(
         loop_, script, [](const net::request&, int, bool) { return "text"; }));
     const auto task = static_cast<uint32_t>(scorers.size());
     const std::string service = "scorers-" + std::to_string(task);
--- a/tests/unit/store/task_runner_test.cc
+++ b/tests/unit/store/task_runner_test.cc
@@ -14,7 +14,7 @@
 
 #include "net/event.h"
 #include "platform/protocol.h"
-#include "support/stuttering_server.h"
+#include "support/duplicate_response_server.h"
 
 namespace hickorywood::store {
 namespace {
@@ -48,7 +48,7 @@
 
 // Tasks that run one after another at one engine.
 struct task_series {
-  net::stutter script;
+  net::duplicate_response script;
   bool repeats_id = false;  // all tasks have the same id
   int complete_texts = 0;
   std::vector<std::string> foreign_data;
@@ -100,7 +100,7 @@
  private:
   task_series& series_;
   core::runtime_clock clock_;
-  net::stuttering_server engine_;
+  net::duplicate_response_server engine_;
   net::connection_pool pool_;
   task_runner runs_;
   uint64_t latest_ = 0;
@@ -125,7 +125,7 @@
   io_context loop;
   const auto wire = platform::MakeProtocol();
   std::list<task_series> all;
-  for (const net::stutter& script : net::AllStutters()) {
+  for (const net::duplicate_response& script : net::AllDuplicateResponses()) {
     for (const bool repeats_id : {false, true}) {
       all.push_back({script, repeats_id});
     }
--- a/tests/unit/transport/second_answer_test.cc
+++ b/tests/unit/transport/second_answer_test.cc
@@ -12,7 +12,7 @@
 #include <thread>
 #include <vector>
 
-#include "support/stuttering_server.h"
+#include "support/duplicate_response_server.h"
 #include "transport/http_client.h"
 
 namespace hickorywood::transport {
@@ -29,8 +29,8 @@
 
 // Consecutive calls to one server, with a separate client.
 struct series {
-  net::stutter script;
-  std::unique_ptr<net::stuttering_server> server;
+  net::duplicate_response script;
+  std::unique_ptr<net::duplicate_response_server> server;
   int answered = 0;
   std::vector<std::string> wrong;
 };
@@ -68,7 +68,7 @@
 void RunAll(std::list<series>& all) {
   boost::asio::io_context loop;
   for (series& one : all) {
-    one.server = std::make_unique<net::stuttering_server>(
+    one.server = std::make_unique<net::duplicate_response_server>(
         loop, one.script,
         [](const net::request& input, int /*count*/, bool is_second) {
           return AnswerTo(std::string(net::Find(input.headers, kIdHeader)),
@@ -99,7 +99,7 @@
 // response to an earlier call.
 TEST(HttpClientTest, SecondAnswersAreNotAccepted) {
   std::list<series> all;
-  for (const net::stutter& script : net::AllStutters()) {
+  for (const net::duplicate_response& script : net::AllDuplicateResponses()) {
     all.push_back({script});
   }
   RunAll(all);
@@ -108,9 +108,9 @@
 // Guards against rejecting endpoints whose responses contain no request id.
 TEST(HttpClientTest, AnswersWithoutRequestIdUseFreshConnections) {
   std::list<series> all;
-  for (net::stutter script : net::AllStutters()) {
+  for (net::duplicate_response script : net::AllDuplicateResponses()) {
     if (script.moment == net::second_moment::kLate) continue;
-    script.names_own = false;
+    script.contains_own_id = false;
     all.push_back({script});
   }
   RunAll(all);
