--- a/packages/core/events.cc
+++ b/packages/core/events.cc
@@ -118,7 +118,7 @@
       {event_id::kConfigurationInForce, kInfo, "configuration",
        "in force at this instance"},
       {event_id::kConfigurationBlocked, kWarning, "configuration",
-       "delayed: site unreachable"},
+       "blocked: site unreachable"},
       {event_id::kConfigurationLeaseExpired, kWarning, "configuration",
        "lease expired"},
       {event_id::kSiteExcluded, kWarning, "configuration",
--- a/packages/peering/view_follower.h
+++ b/packages/peering/view_follower.h
@@ -39,7 +39,7 @@
 
   const fleet::view& View() const { return view_; }
   // Sets whether the weights of the engines are requested.
-  void WantWeights(bool wants) { wants_weights_ = wants; }
+  void RequestWeights(bool wants) { wants_weights_ = wants; }
   // Sets the source of the demands that this process reports with each request.
   void SetDemandSource(
       std::function<std::vector<fleet::model_demand>()> demands) {
--- a/packages/store/store_instance.cc
+++ b/packages/store/store_instance.cc
@@ -93,7 +93,7 @@
     group.on_failure = [this] { loop.stop(); };
     // Followers request the weights too, because a new leader needs the weights
     // of all engines at once.
-    follower.WantWeights(true);
+    follower.RequestWeights(true);
     follower.SetDemandSource([this] { return dispatch.Demands(); });
     follower.OnChange([this] { OnView(); });
   }
