--- a/packages/settings/node_settings.cc
+++ b/packages/settings/node_settings.cc
@@ -85,17 +85,16 @@
        "Folder for replicated state. Control instances and stores."},
       {"consensus.election_timeout", type::kDuration, "450ms", 50,
        kMillisPerMinute,
-       "Shortest silence of a leader after which an election starts."},
+       "Minimum election timeout: time without a message of the leader."},
       {"consensus.heartbeat", type::kDuration, "110ms", 5, kMillisPerMinute,
        "Time between a leader's messages to an idle follower."},
       {"consensus.leader_lease", type::kDuration, "330ms", 20, kMillisPerMinute,
-       "How long a quorum's confirmation lets a leader act. Below the election "
-       "timeout."},
+       "How long a leader may act after a confirmation by a quorum. Less than "
+       "the election timeout."},
       {"endpoints.heartbeat", type::kDuration, "1200ms", 10, kMillisPerMinute,
        "Time between two heartbeats of an endpoint."},
       {"orders.holder_lease", type::kDuration, "3s", 0, kMillisPerMinute,
-       "Time after an election before the new leader gives orders to "
-       "engines."},
+       "Time after an election before the new leader sends orders to engines."},
       {"steps.retention", type::kDuration, "120s", 1000, 24 * kMillisPerHour,
        "How long a step's results can be read after its submission."},
       {"drain.grace", type::kDuration, "8s", 0, kMillisPerHour,
