--- a/tests/integration/endpoints_test.cc
+++ b/tests/integration/endpoints_test.cc
@@ -186,7 +186,7 @@
 // version from only one leader at a time, because orders are sent only under a
 // valid lease and a new leader waits for the old lease. No engine ever returns
 // to an older version.
-TEST(EndpointsTest, DeposedLeaderGivesNoOrders) {
+TEST(EndpointsTest, DeposedLeaderSendsNoOrders) {
   cluster fleet(ThreeNodes());
   ASSERT_TRUE(fleet.Start(SmallConfiguration()));
   fleet.StartEndpoint(
--- a/tests/unit/fleet/endpoint_registry_test.cc
+++ b/tests/unit/fleet/endpoint_registry_test.cc
@@ -134,7 +134,7 @@
 
 // The endpoint was draining, or had left, when it restarted. The new
 // incarnation is ready: the state of the old one does not apply to it.
-TEST(EndpointRegistryTest, RestartEndsDrainingAndLeaving) {
+TEST(EndpointRegistryTest, RestartClearsDrainingAndLeaving) {
   endpoint_registry registry;
   heartbeat draining = BeatOfIncarnation(1000, 1);
   draining.is_draining = true;
--- a/tests/unit/routing/routing_test.cc
+++ b/tests/unit/routing/routing_test.cc
@@ -124,7 +124,7 @@
   }
 }
 
-TEST(HealthTest, EjectionEndsAndStartsSlowly) {
+TEST(HealthTest, EjectionExpiresAndLoadReturnsGradually) {
   stats_table table;
   const std::vector<std::string> peers = {"a", "b", "c", "d"};
   const ejection_policy policy;
@@ -246,7 +246,7 @@
   EXPECT_TRUE(ConsumeRetry(budget));
 }
 
-TEST(StaleConnectionsTest, EndsWithTheAgeOfTheConnections) {
+TEST(StaleConnectionsTest, ExpiresWithTheAgeOfTheConnections) {
   stale_connections stale;
   EXPECT_FALSE(NeedsNewConnection(stale, "a", kStart));
   RecordTimeout(stale, "a", kStart);
