--- a/packages/hickoryd/instance.cc
+++ b/packages/hickoryd/instance.cc
@@ -236,8 +236,9 @@
   wake.wait_for(lock, settings.drain_notice, failed);
   lock.unlock();
   traffic.Post([this] { steps.Release(); });
-  if (host != nullptr)
+  if (host != nullptr) {
     control.Post([this] { host->Replica().TransferLeadership(); });
+  }
   const core::time_point limit = clock.Now() + settings.drain_limit;
   int quiet_polls = 0;
   lock.lock();
--- a/packages/hickoryd/step_service.cc
+++ b/packages/hickoryd/step_service.cc
@@ -191,8 +191,9 @@
     step->is_copying = false;
     if (step->is_stopped) return;
     if (is_stored) {
-      for (const int64_t slot : slots)
+      for (const int64_t slot : slots) {
         rollout::RecordReplicated(step->run, slot);
+      }
       ServePulls(step);
       return;
     }
--- a/packages/routing/admission.cc
+++ b/packages/routing/admission.cc
@@ -60,8 +60,9 @@
   fair_queue::trainer_queue* first = nullptr;
   for (auto& [trainer, trainer_queue] : queue.trainer_queues) {
     if (trainer_queue.waiting.empty()) continue;
-    if (first == nullptr || trainer_queue.finish < first->finish)
+    if (first == nullptr || trainer_queue.finish < first->finish) {
       first = &trainer_queue;
+    }
   }
   const waiting_request next = first->waiting.front();
   first->waiting.pop_front();
--- a/packages/routing/endpoint_choice.cc
+++ b/packages/routing/endpoint_choice.cc
@@ -67,8 +67,9 @@
                        record.latency_ms > kNormalLatencyRatio * median_ms;
   if (is_slow) cost *= record.latency_ms / median_ms;
   if (item.zone != input.own_zone) cost += kOtherZoneCost;
-  if (item.state == fleet::endpoint_state::kUnresponsive)
+  if (item.state == fleet::endpoint_state::kUnresponsive) {
     cost += kUnresponsiveCost;
+  }
   return cost;
 }
 
--- a/packages/store/step_service.cc
+++ b/packages/store/step_service.cc
@@ -157,8 +157,9 @@
       outputs = std::move(*found);
       index = item.index;
     }
-    if (!steps::RestoreOutput(item, std::move(outputs[item.task])))
+    if (!steps::RestoreOutput(item, std::move(outputs[item.task]))) {
       return false;
+    }
   }
   return true;
 }
@@ -255,8 +256,9 @@
     if (!group_.IsServing()) continue;
     // A leader that is being retired must transfer leadership before it can
     // leave the group.
-    if (state_.Retired().count(group_.OwnAddress()) != 0)
+    if (state_.Retired().count(group_.OwnAddress()) != 0) {
       group_.TransferLeadership();
+    }
     if (clock_.Now() < next_removal_at) continue;
     next_removal_at = clock_.Now() + kStepRemovalPeriod;
     co_await RemoveOldSteps();
--- a/tests/unit/consensus/group_simulation.cc
+++ b/tests/unit/consensus/group_simulation.cc
@@ -343,8 +343,9 @@
     }
   } else if (kind == 30) {
     raft_output out;
-    if (item.is_up && !item.is_frozen)
+    if (item.is_up && !item.is_frozen) {
       TransferLeadership(item.state, clock_.Now(), out);
+    }
     Handle(index, out);
   } else if (kind == 31) {
     while (!network_.empty()) Deliver(0, false);
--- a/tests/unit/peering/leader_caller_test.cc
+++ b/tests/unit/peering/leader_caller_test.cc
@@ -97,8 +97,9 @@
 // another call.
 TEST(LeaderCallerTest, SecondResponsesAreIgnored) {
   std::list<series> all;
-  for (const net::duplicate_response& script : net::AllDuplicateResponses())
+  for (const net::duplicate_response& script : net::AllDuplicateResponses()) {
     all.push_back({script});
+  }
   RunAll(all);
 }
 
--- a/tests/unit/quarantine/crash_ledger_test.cc
+++ b/tests/unit/quarantine/crash_ledger_test.cc
@@ -61,8 +61,9 @@
     RecordCrashes("cause", {"a", "b", "c"});
     Release(ledger_, "cause", reason, now_);
     crash_ledger next;
-    for (const auto& item : ListWarnings(ledger_))
+    for (const auto& item : ListWarnings(ledger_)) {
       MergeWarning(next, item, now_);
+    }
     for (const char* end : {"a", "b", "c"}) {
       RecordCrash(next, {"cause", "customer", end}, now_);
     }
@@ -76,8 +77,9 @@
   RecordCrashes("cause", {"a", "b", "c"});
   crash_ledger other = ledger_;
   Release(ledger_, "cause", release_reason::kOperator, now_);
-  for (const auto& item : ListWarnings(ledger_))
+  for (const auto& item : ListWarnings(ledger_)) {
     MergeWarning(other, item, now_);
+  }
   EXPECT_EQ(QuarantineStateOf(other, "cause", now_), quarantine_state::kClear);
   // Later crashes count.
   for (const char* end : {"d", "e", "f"}) {
