--- a/packages/hickoryd/api_reply.cc
+++ b/packages/hickoryd/api_reply.cc
@@ -8,7 +8,9 @@
 namespace hickorywood::hickoryd {
 namespace {
 
-// Omits headers without a value: a successful response has no outcome.
+// Returns the headers of a failure. A header without a value is left out, since
+// ReplyStep() uses this function for successful responses too, which have no
+// outcome.
 std::vector<transport::http_header> FailureHeaders(
     const std::string& outcome, core::milliseconds retry_after) {
   std::vector<transport::http_header> headers;
--- a/packages/hickoryd/event_metrics.cc
+++ b/packages/hickoryd/event_metrics.cc
@@ -16,8 +16,9 @@
 constexpr std::string_view kDurationField = "ms";
 constexpr double kMillisPerSecond = 1000;
 
-// In seconds: from a simple request of a few ms to a step of several seconds,
-// each about twice the previous one.
+// Upper bounds of the buckets of the duration histogram, in seconds: from a
+// simple request of a few ms to a step of several seconds. Each bound is 1.5
+// to 2.5 times the previous one.
 const prometheus::Histogram::BucketBoundaries& DurationBuckets() {
   static const auto* const kBuckets =
       new prometheus::Histogram::BucketBoundaries{
--- a/packages/hickoryd/event_metrics.h
+++ b/packages/hickoryd/event_metrics.h
@@ -2,9 +2,9 @@
 #define HICKORYWOOD_HICKORYD_EVENT_METRICS_H_
 
 // Metrics of a process, derived from its numbered events: a count of each
-// event, and the durations of the events that have one. Logs and metrics agree
-// even when log lines are dropped, and the number of series is bounded by the
-// event catalogue. docs/metrics.md lists the families.
+// event, and the durations of the events that have one. The metrics count
+// every event, also those whose log line is dropped, and the number of series
+// is bounded by the event catalogue. docs/metrics.md lists the families.
 
 #include <initializer_list>
 #include <memory>
--- a/packages/hickoryd/step_service.h
+++ b/packages/hickoryd/step_service.h
@@ -2,9 +2,9 @@
 #define HICKORYWOOD_HICKORYD_STEP_SERVICE_H_
 
 // Coordinates the steps that trainers opened: generates the samples, stores
-// each body in two availability zones, commits the batch of each cursor before
-// sending it, and takes over steps whose coordinator is unreachable or has
-// terminated. Runs on the traffic thread.
+// each body on a second instance too, in another availability zone if there is
+// one, commits each batch before sending it, and takes over steps whose
+// coordinator is unreachable or has terminated. Runs on the traffic thread.
 
 #include <functional>
 #include <map>
@@ -26,13 +26,15 @@
 struct pull_request {
   std::string pool;
   std::string step;
-  // Of the requested batch; requesting n acknowledges n - 1.
+  // Number of the requested batch in the step; requesting batch n acknowledges
+  // batch n - 1.
   uint64_t cursor = 1;
   int64_t trainer_version = 0;  // current weight version of the trainer
   int64_t max_samples = 64;
   int64_t wait_ms = 1000;  // an empty batch is returned after this time
-  // Forwarded by another instance. If the step is not coordinated here, the
-  // request fails with 404 instead of taking the step over.
+  // True if another instance forwarded the request. If the step is not
+  // coordinated here, the request fails with 404 instead of taking the step
+  // over.
   bool is_forwarded = false;
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(pull_request, pool, step,
@@ -60,11 +62,12 @@
   void Open(const rollout::step_spec& spec, const completion& done);
   void Pull(const pull_request& request, completion done);
 
-  // The number of steps that this instance currently coordinates.
+  // Returns the number of steps that this instance coordinates.
   size_t Active() const { return steps_.size(); }
 
-  // Planned stop: cancels the generations and answers waiting pulls. Other
-  // instances take the steps over.
+  // Releases all steps before a planned stop: cancels their generations and
+  // fails their waiting pulls with status 503, so that the trainers retry and
+  // another instance takes the steps over.
   void Release();
 
  private:
@@ -74,7 +77,7 @@
   struct take_over;
   using step_ptr = std::shared_ptr<coordinated_step>;
 
-  // Opening steps and taking them over.
+  // Functions that open steps and take them over.
   void ProposeOpen(const std::string& key, const rollout::step_spec& spec,
                    const std::string& backup, const completion& done);
   void FindCoordinator(const pull_request& request, const completion& done,
@@ -99,7 +102,7 @@
   void RetryFindCoordinator(const pull_request& request, const completion& done,
                             core::time_point retry_until);
 
-  // Running steps.
+  // Functions that run the steps which this instance coordinates.
   void RunSteps();
   void LaunchSamples(const step_ptr& step);
   void BeginSample(const step_ptr& step, const rollout::launch& launch);
@@ -124,7 +127,7 @@
   void AnswerBatch(const step_ptr& step, const waiting_pull& pull,
                    const std::optional<std::string>& body);
   void Acknowledge(const step_ptr& step, uint64_t cursor);
-  // Empty if this instance does not store all bodies of the batch.
+  // Returns nothing if this instance does not store all bodies of the batch.
   std::optional<std::string> BatchBody(
       const step_ptr& step, const control::batch_record& batch) const;
   void RecordDelivery(const step_ptr& step, const control::batch_record& batch);
