--- a/packages/quarantine/quarantine_log.h
+++ b/packages/quarantine/quarantine_log.h
@@ -7,7 +7,8 @@
 
 namespace hickorywood::quarantine {
 
-// Logs an event for each quarantine in `ledger` that began or ended.
+// Logs one event for each of `changes`. `ledger` must contain each request
+// whose quarantine began.
 void LogQuarantineChanges(const crash_ledger& ledger,
                           const std::vector<quarantine_change>& changes);
 
