--- a/packages/net/address.cc
+++ b/packages/net/address.cc
@@ -11,8 +11,8 @@
 namespace hickorywood::net {
 namespace {
 
-// Time that sent bytes may stay unacknowledged. It is well above a round trip
-// between regions with one retransmission.
+// Maximum time for which sent bytes may stay unacknowledged. It is well above a
+// round trip between regions with one retransmission.
 constexpr int kMaxUnacknowledgedMs = 4000;
 
 }  // namespace
@@ -37,7 +37,8 @@
 }
 
 void TuneSocket(boost::asio::ip::tcp::socket& socket) {
-  boost::system::error_code ignored;  // without the option it is only slower
+  // A failure is ignored: without no_delay, small writes are only slower.
+  boost::system::error_code ignored;
   socket.set_option(boost::asio::ip::tcp::no_delay(true), ignored);
   setsockopt(socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT,
              &kMaxUnacknowledgedMs, sizeof(kMaxUnacknowledgedMs));
--- a/packages/net/connection_pool.h
+++ b/packages/net/connection_pool.h
@@ -91,8 +91,8 @@
   connection_pool& operator=(const connection_pool&) = delete;
 
   // Returns an idle connection to `address`, or a new one. `terms` must be a
-  // variable that is moved in, see handler in listener.h. Returns empty and
-  // sets the last reason when no connection is established by `deadline`.
+  // variable that is moved in, see handler in listener.h. Returns nothing and
+  // sets the last reason if no connection is established by `deadline`.
   boost::asio::awaitable<std::unique_ptr<connection>> Acquire(
       std::string address, core::time_point deadline, acquire_terms terms);
   // Returns a connection to the pool after its answer was read to the end. The
--- a/packages/net/event.h
+++ b/packages/net/event.h
@@ -70,7 +70,7 @@
     state_->is_set.Notify();
   }
 
-  // Returns empty when no value is set by `deadline`.
+  // Returns nothing if no value is set by `deadline`.
   boost::asio::awaitable<std::optional<T>> WaitUntil(
       core::time_point deadline) const {
     const std::shared_ptr<state> shared = state_;
--- a/packages/net/spawn.h
+++ b/packages/net/spawn.h
@@ -22,8 +22,9 @@
   signal->emit(boost::asio::cancellation_type::terminal);
 }
 
-// Runs a coroutine that `signal` can cancel. `done` receives the result and the
-// exception of the coroutine; a cancelled coroutine has an exception too.
+// Runs a coroutine that `signal` can cancel. `done` receives the exception
+// of the coroutine, or null, and then its result, which has no meaning if there
+// is an exception. A cancelled coroutine ends with an exception too.
 template <typename T, typename Done>
 void SpawnCancellable(boost::asio::io_context& loop,
                       boost::asio::awaitable<T> work, cancel_signal signal,
