--- a/packages/transport/rpc.h
+++ b/packages/transport/rpc.h
@@ -3,9 +3,9 @@
 
 // JSON-RPC 2.0 between hickoryd instances. The server side is libjson-rpc-cpp
 // mounted on the peer listener: the HTTP server of the library can't be bound
-// to one address, so it would listen on all of them. The client side uses
-// http_client, because the client of the library blocks its thread. A call
-// carries one typed message as JSON text in the parameter "payload".
+// to one address, so it would listen on all of them. Clients send the encoded
+// call with http_client, because the client of the library blocks its thread. A
+// call carries one typed message as JSON text in the parameter "payload".
 
 #include <functional>
 #include <map>
@@ -15,8 +15,8 @@
 
 namespace hickorywood::transport {
 
-// Handles one call on the thread of the listener. Empty with the last reason if
-// the call failed.
+// Handles one call on the thread of the listener. Returns nothing and sets
+// the last reason if the call failed.
 using rpc_method =
     std::function<std::optional<std::string>(const std::string& payload)>;
 
@@ -27,8 +27,8 @@
   rpc_dispatcher(const rpc_dispatcher&) = delete;
   rpc_dispatcher& operator=(const rpc_dispatcher&) = delete;
 
-  // The JSON-RPC response to a JSON-RPC request. Malformed requests get the
-  // errors of the protocol.
+  // Returns the JSON-RPC response to a JSON-RPC request. The response to a
+  // malformed request is an error of the protocol.
   std::string Handle(const std::string& request);
 
   struct impl;
@@ -40,8 +40,8 @@
 std::string EncodeRpcCall(const std::string& method,
                           const std::string& payload);
 
-// The payload of a response; empty with the reason if it is an error or
-// malformed.
+// Returns the payload of a response. Returns nothing and sets the last reason
+// if the response is an error or malformed.
 std::optional<std::string> DecodeRpcAnswer(const std::string& answer);
 
 }  // namespace hickorywood::transport
