--- a/packages/settings/yaml_document.h
+++ b/packages/settings/yaml_document.h
@@ -1,8 +1,9 @@
 #ifndef HICKORYWOOD_SETTINGS_YAML_DOCUMENT_H_
 #define HICKORYWOOD_SETTINGS_YAML_DOCUMENT_H_
 
-// Parses YAML text and validates it against a schema. All errors of a document
-// are collected, each with its location.
+// Parses YAML text and validates it against a schema. All invalid values of a
+// document are collected, each with its location; after a syntax error, only
+// that error is.
 
 #include <chrono>
 #include <cstdint>
@@ -33,17 +34,19 @@
 };
 
 // Parses `text`. Syntax errors, unknown and duplicate keys, wrong types,
-// invalid units and numbers out of range are added to `findings`. All valid
-// values are returned nevertheless, so that later checks can add their
-// findings.
+// invalid units and numbers out of range are added to `findings`. After a
+// syntax error the returned tree is empty. After other errors it contains the
+// valid values, so that later checks can add their findings.
 value_tree ParseDocument(const std::string& file, const std::string& text,
                          const std::vector<setting_info>& schema,
                          std::vector<core::finding>& findings);
 
-// Merges both trees. Values of `upper` take precedence.
+// Merges both trees. A value of `upper` replaces the value of `lower` with the
+// same path; a list replaces the complete list.
 value_tree Merge(const value_tree& lower, const value_tree& upper);
 
-// Adds a finding for each required setting that is missing in an existing map.
+// Adds a finding for each missing setting that has no default. A path with '*'
+// is checked in each map of `tree` that the '*' matches.
 void CheckRequired(const value_tree& tree,
                    const std::vector<setting_info>& schema,
                    const std::string& file,
@@ -54,12 +57,14 @@
 std::vector<std::string> ChildNames(const value_tree& tree,
                                     const std::string& prefix);
 
-// Parses "250ms", "2s", "5m", "1h". Otherwise returns nothing, with reason
-// kInvalid.
+// Parses a non-negative number with a unit: "250ms", "1.5s", "5m", "1h".
+// Returns nothing and sets the last reason (kInvalid) if `text` has another
+// form.
 std::optional<std::chrono::milliseconds> ParseDuration(const std::string& text);
 
 // Typed access to a validated tree. For a missing value the default of the
-// schema is returned.
+// schema is returned. List() returns an empty list instead. A path that is
+// neither in the tree nor in the schema gives an empty text, 0 or false.
 class tree_reader {
  public:
   tree_reader(const value_tree& tree, const std::vector<setting_info>& schema);
