--- a/packages/store/step_state.cc
+++ b/packages/store/step_state.cc
@@ -84,8 +84,9 @@
   saved.retired = content_.retired;
   uint64_t index = applied;
   for (const auto& [id, step] : content_.steps) {
-    // A step from a snapshot of the complete state has no log entry. The log is
-    // not truncated until that step is removed.
+    // The `opened_index` of a step from a snapshot of the complete state is 0,
+    // since the step has no log entry. The log is not truncated until that step
+    // is removed.
     const uint64_t before = step.opened_index == 0 ? 0 : step.opened_index - 1;
     index = std::min(index, before);
   }
--- a/packages/store/step_state.h
+++ b/packages/store/step_state.h
@@ -19,6 +19,7 @@
 constexpr char kAddResultsCommand[] = "add_results";
 constexpr char kAddProgressCommand[] = "add_progress";
 constexpr char kEndStepCommand[] = "end_step";
+// The text is the name of the command in existing logs.
 constexpr char kRemoveStepsCommand[] = "forget_steps";
 constexpr char kRetireCommand[] = "retire";
 
@@ -49,9 +50,13 @@
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(end_step_command, step)
 
+// Both times are Unix times in milliseconds and are compared with the time at
+// which a step was opened.
 struct remove_steps_command {
-  int64_t ended_before_ms = 0;   // removes ended steps submitted before this
-  int64_t opened_before_ms = 0;  // removes all steps submitted before this
+  // Ended steps that were opened before this time are removed.
+  int64_t ended_before_ms = 0;
+  // Steps that have not ended and were opened before this time are removed.
+  int64_t opened_before_ms = 0;
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(remove_steps_command,
                                                 ended_before_ms,
@@ -69,9 +74,10 @@
 
   void Apply(const group::hosted_command& input) override;
   bool Restore(const std::string& data) override;
-  // Returns the state before the oldest stored step. Later entries are replayed
-  // from the log, which contains them in any case. A snapshot that contained
-  // the texts of two minutes took several times their memory while it was made.
+  // Returns a snapshot as of the log index before the oldest stored step. It
+  // contains no steps: they are rebuilt from the later log entries on restart.
+  // The outputs are left out because encoding those of two minutes took several
+  // times their memory.
   consensus::saved_state Save(uint64_t applied) const override;
 
   const steps::step_table& Steps() const { return content_.steps; }
