--- a/packages/fleet/protocol.h
+++ b/packages/fleet/protocol.h
@@ -34,12 +34,12 @@
 struct publish_version_call {
   model_version published;
 };
-// Requests that an instance with data is emptied, and reads whether that is
-// done.
+// Requests that an instance that stores data is emptied.
 struct retire_call {
   std::string instance;
   std::chrono::milliseconds duration{0};
 };
+// Reads whether the retirement of an instance is complete.
 struct retirement_status_call {
   std::string instance;
 };
@@ -54,11 +54,11 @@
                  put_configuration_call, get_configuration_call,
                  publish_version_call, retire_call, retirement_status_call>;
 
-// Calls about submitted steps, which any entry receives.
+// Calls about submitted steps. Any entry accepts them.
 
 struct read_results_call {
   std::string step;
-  uint64_t after = 0;
+  uint64_t after = 0;  // position of the first result to return, from 0
   std::chrono::milliseconds wait{0};  // how long to wait for a result
 };
 struct read_task_call {
@@ -68,67 +68,72 @@
 struct end_step_call {
   std::string step;
 };
-// A request for a route, not about a submitted step.
+// A request that is not about a submitted step, but for a route.
 struct other_call {};
 using step_call = std::variant<other_call, malformed_call, read_results_call,
                                read_task_call, end_step_call>;
 
+// What happens to the running requests of an endpoint when it loads new
+// weights.
 enum class swap_mode {
-  kWait,    // runs finish first
-  kCut,     // the streams of the runs are reset
-  kRetain,  // runs continue with the new version
+  kWait,    // the requests finish before the weights are loaded
+  kCut,     // the streams of the requests are reset
+  kRetain,  // the requests continue with the new version
 };
 
 // Orders an endpoint to load a version of the weights of a model.
 struct load_order {
-  std::string endpoint;  // the only one that may accept the order
+  std::string endpoint;  // the only endpoint that may accept the order
   model_version target;
   swap_mode mode = swap_mode::kRetain;
-  std::string holder;                         // instance that sends the order
-  uint64_t fencing_token = 0;                 // increases with each leader
-  std::optional<uint64_t> expected_sequence;  // orders that it accepted before
+  std::string holder;          // instance that sends the order
+  uint64_t fencing_token = 0;  // increases with each leader
+  // Number of orders that the endpoint must have accepted before; empty: the
+  // order contains no such condition.
+  std::optional<uint64_t> expected_sequence;
 };
 
 enum class order_outcome {
   kStarted,
   kAlreadyDone,
-  kBusy,       // another order is in progress, or the sequence differs
+  kBusy,       // another order is in progress, or `expected_sequence` differs
   kFenced,     // the endpoint has received a higher token
-  kRefused,    // it can't be executed
+  kRefused,    // the order can't be executed
   kElsewhere,  // another endpoint has the address
 };
 
-// The state that an endpoint reports on request; a few hundred milliseconds
-// old.
+// The state that an endpoint reports on request. The state is a few hundred
+// milliseconds old.
 struct endpoint_report {
   std::optional<int64_t> started_ms;  // start of the reporting incarnation
   std::vector<model_version> models;
-  bool is_busy = false;         // an order is being executed
-  uint64_t order_sequence = 0;  // orders accepted so far
+  bool is_busy = false;         // the endpoint is executing an order
+  uint64_t order_sequence = 0;  // number of orders accepted so far
 };
 
 // The load that an endpoint reports with its responses.
 struct load_hint {
-  int64_t running = 0;
-  int64_t waiting = 0;
+  int64_t running = 0;  // requests that are running
+  int64_t waiting = 0;  // requests that are waiting
   int64_t slots = 0;
 };
 
-// The terms that are added to a request to an endpoint.
+// The values that are added to a request to an endpoint as headers.
 struct dispatch_terms {
   std::chrono::milliseconds time_left{0};
   std::string endpoint;                // any other endpoint rejects the request
-  std::optional<uint64_t> last_event;  // resume after this event
+  std::optional<uint64_t> last_event;  // the endpoint resumes after this event
   std::optional<int64_t> priority;     // 0 is the most urgent
 };
 
 // The metadata of a response of an endpoint.
 struct answer_marks {
-  std::string request_id;   // the request that it belongs to
+  std::string request_id;   // the request that the response belongs to
   bool is_not_run = false;  // the endpoint did not run the request
   std::string signature;    // empty: the response has none
   std::optional<load_hint> load;
   std::optional<uint64_t> weights_version;
+  // Keep-alive timeout of the connection, if the response contains it.
   std::optional<std::chrono::seconds> idle_limit;
 
   bool IsSigned() const { return !signature.empty(); }
@@ -139,25 +144,30 @@
   virtual ~protocol() = default;
 
   virtual control_call DecodeControlCall(const net::request& input) const = 0;
+  // Encodes the response to an accepted call. An empty `heartbeat_address` is
+  // left out of the response.
   virtual net::response EncodeAcknowledgement(
       const std::string& heartbeat_address) const = 0;
   virtual net::response EncodeRetirement(bool is_done) const = 0;
   // The response to a read of the configuration.
   virtual net::response EncodeConfiguration(const std::string& text) const = 0;
-  // A failure response of this service, with the reason as a text.
+  // Encodes a failure response that this service creates, with the reason as
+  // text and, if `retry_after` is set, the time after which to retry.
   virtual net::response EncodeFailure(
       int status, const std::string& reason,
       std::optional<std::chrono::milliseconds> retry_after) const = 0;
 
   virtual step_call DecodeStepCall(const net::request& input) const = 0;
-  // Returns nothing, and sets the last reason, when it can't be decoded.
+  // Returns nothing and sets the last reason (kInvalid) if `input` can't be
+  // decoded.
   virtual std::optional<steps::submission> DecodeSubmission(
       const net::request& input) const = 0;
   virtual net::response EncodeResults(const steps::result_page& page) const = 0;
   virtual net::response EncodeTaskBody(const std::string& body) const = 0;
 
   virtual std::string RequestId(const net::request& input) const = 0;
-  // The time for which the caller waits, if the request contains it.
+  // Returns the time for which the caller still waits, or nothing if the
+  // request doesn't contain it.
   virtual std::optional<std::chrono::milliseconds> TimeLeft(
       const net::request& input) const = 0;
   // Encodes the request of a caller as a request to an endpoint.
@@ -165,7 +175,8 @@
                                       const dispatch_terms& terms) const = 0;
   // The header with the id of the request, in requests and responses.
   virtual net::header RequestIdHeader(const std::string& id) const = 0;
-  // `task`: id of the task that `input` runs.
+  // Encodes a task of `step` as a request to an endpoint, with the task id
+  // `task` as the id of the request.
   virtual net::request EncodeTask(const steps::submission& step,
                                   const std::string& task,
                                   const steps::task_request& input,
@@ -174,16 +185,19 @@
   virtual net::request EncodeReward(
       const steps::reward_request& reward) const = 0;
   virtual answer_marks DecodeMarks(const net::response& answer) const = 0;
-  // The version of the weights in a field of an event, if the field contains
-  // it.
+  // Returns the version of the weights in a field of an event, or nothing if
+  // the field doesn't contain it.
   virtual std::optional<uint64_t> EventVersion(
       const std::string& field, const std::string& value) const = 0;
-  // The number of output tokens that the caller expects of a task, or 0.
+  // Returns the number of output tokens that the caller expects of a task, or 0
+  // if the request doesn't contain it.
   virtual int64_t ExpectedTokens(const steps::task_request& input) const = 0;
-  // The maximum length of the output of a task in tokens, or 0.
+  // Returns the maximum length of the output of a task in tokens, or 0 if the
+  // request doesn't contain it.
   virtual int64_t LargestOutput(const steps::task_request& input) const = 0;
 
   virtual net::request EncodeOrder(const load_order& order) const = 0;
+  // `status`: HTTP status of the response to an order.
   virtual order_outcome DecodeOrderAnswer(int status) const = 0;
   virtual net::request EncodeReportCall(const std::string& endpoint) const = 0;
   virtual std::optional<endpoint_report> DecodeReport(
