--- a/packages/store/step_state.cc
+++ b/packages/store/step_state.cc
@@ -8,6 +8,8 @@
 namespace hickorywood::store {
 namespace {
 
+// The following functions ignore a payload that can't be decoded.
+
 void OpenStep(step_state::content& state, const group::hosted_command& input) {
   auto submission = core::DecodeBinary<steps::submission>(input.payload);
   if (submission) {
