--- a/packages/transport/engine_protocol.h
+++ b/packages/transport/engine_protocol.h
@@ -34,9 +34,9 @@
     rollout::generation_chunk chunk;
   };
 
-  // Adds bytes and returns the events that are now complete. Empty with
-  // kInvalid when the stream is malformed; the parser must not be used
-  // afterwards.
+  // Adds bytes and returns the events that are now complete. Returns
+  // nothing and sets the last reason (kInvalid) if the stream is malformed; the
+  // parser must not be used afterwards.
   std::optional<std::vector<event>> Feed(std::string_view bytes);
 
  private:
