--- a/packages/routing/admission.h
+++ b/packages/routing/admission.h
@@ -47,7 +47,8 @@
 void SetWeight(fair_queue& queue, const std::string& trainer, int64_t weight);
 void Push(fair_queue& queue, const waiting_request& request);
 
-// Removes and returns the request to start next. Empty when the queue is empty.
+// Removes and returns the request to start next. Returns nothing if the queue
+// is empty.
 std::optional<waiting_request> Pop(fair_queue& queue);
 
 // Returns a popped request to the head of its queue when no endpoint has
--- a/packages/routing/choice.h
+++ b/packages/routing/choice.h
@@ -52,7 +52,7 @@
 // until the next report.
 int64_t CorrectedLoad(const candidate& item);
 
-// Returns the index of the chosen candidate, or empty when none has capacity. A
+// Returns the index of the chosen candidate, or nothing if none has capacity. A
 // `prefix_hash` of 0 disables affinity.
 std::optional<size_t> ChooseEndpoint(const choice_policy& policy,
                                      choice_state& state,
--- a/packages/routing/request_sender.h
+++ b/packages/routing/request_sender.h
@@ -43,7 +43,7 @@
 // The result of sending a request.
 struct send_outcome {
   // The complete answer with the mark of its endpoint, without hop-by-hop
-  // headers. Empty when no such answer was received.
+  // headers; empty if no complete answer was received.
   std::optional<net::response> answer;
   std::string service;        // chosen from the services of the route
   bool may_have_run = false;  // an endpoint may have run it, or may still do so
