--- a/packages/hickoryd/body_holder.h
+++ b/packages/hickoryd/body_holder.h
@@ -61,12 +61,13 @@
               std::function<void(bool)> done);
 
   // Requests the stored bodies of another instance. `done` runs on the traffic
-  // thread; empty: no response.
+  // thread and receives nothing if there was no response.
   void Fetch(const std::string& peer, const std::string& step_key,
              std::function<void(std::optional<held_bodies>)> done);
 
-  // The instance that stores second copies: alive, not draining, and in another
-  // zone if there is one. Empty when no other instance is alive.
+  // Returns the instance that stores second copies: alive, not draining, and in
+  // another zone if there is one. Returns an empty text if there is no such
+  // instance.
   std::string ChooseBackup(const std::string& seed) const;
 
   // Whether the fleet has no other instance, so that copies are impossible.
--- a/packages/hickoryd/leader_client.h
+++ b/packages/hickoryd/leader_client.h
@@ -44,8 +44,8 @@
   bool Submit(control::command input, core::milliseconds limit,
               std::function<void(control::proposal_answer)> done);
 
-  // Requests a step record from the leader. Empty when no leader answered in
-  // time.
+  // Requests a step record from the leader. `done` receives nothing if no
+  // leader responded in time.
   bool ReadStep(const std::string& pool, const std::string& step,
                 core::milliseconds limit,
                 std::function<void(std::optional<step_answer>)> done);
--- a/packages/hickoryd/step_service.h
+++ b/packages/hickoryd/step_service.h
@@ -46,7 +46,8 @@
   int status = 200;
   std::string body;  // JSON
   core::milliseconds retry_after{0};
-  std::string outcome;  // of a failure: "not_run", "unknown" or "ran"
+  // Outcome of a failed request: "not_run", "unknown" or "ran".
+  std::string outcome;
 };
 
 class step_service {
