--- a/packages/controller/weight_table.h
+++ b/packages/controller/weight_table.h
@@ -38,7 +38,7 @@
 bool RecordVersion(weight_table& table, const std::string& incarnation,
                    const std::string& model, uint64_t version);
 
-// The version of a model at an engine; empty: none was reported.
+// Returns the version of a model at an engine, or nothing if none was reported.
 std::optional<uint64_t> VersionAt(const weight_table& table,
                                   const std::string& incarnation,
                                   const std::string& model);
