--- a/packages/membership/endpoint_table.h
+++ b/packages/membership/endpoint_table.h
@@ -78,8 +78,8 @@
 
 enum class merge_result { kUnchanged, kRefreshed, kChanged, kRefused };
 
-// Validates an announcement from another process. Returns nothing, with
-// kInvalid, if it is not valid.
+// Validates an announcement from another process. Returns nothing
+// and sets the last reason (kInvalid) if the announcement is not valid.
 std::optional<announcement> CheckAnnouncement(const announcement& input);
 
 // Merges an announcement, whose lease expires in `lease_left`. `sender` is the
