--- a/packages/consensus/storage.h
+++ b/packages/consensus/storage.h
@@ -50,8 +50,8 @@
   // committed entries to `replay` and doesn't keep their data in memory:
   // loading the entire log at once needed more memory than normal operation.
   virtual void SetReplay(log_replay replay) = 0;
-  // Returns nothing, with kCorrupt if the folder is damaged or kIo if it can't
-  // be read.
+  // Returns nothing and sets the last reason if the folder is damaged
+  // (kCorrupt) or can't be read (kIo).
   virtual std::optional<stored_state> Load() = 0;
   // Returns true once `write` is durable.
   virtual bool Write(const storage_write& write) = 0;
@@ -59,7 +59,7 @@
   // it covers; later entries stay. Returns true once it is durable.
   virtual bool WriteCompaction(const raft_log& log) = 0;
   // Reads the data of an entry that was written after the latest snapshot.
-  // Returns nothing, with the reason, if it can't be read.
+  // Returns nothing and sets the last reason if the data can't be read.
   virtual std::optional<std::string> ReadData(uint64_t index) = 0;
   // Replaces the stored state by the snapshot, the entries after it and `hard`.
   // Returns true once they are durable.
