--- a/packages/rollout/step.h
+++ b/packages/rollout/step.h
@@ -40,7 +40,8 @@
 constexpr int64_t kMaxSlots = 65536;
 constexpr int64_t kMaxTokens = 131072;
 
-// Returns the spec, or nothing with kInvalid if it can't be run.
+// Returns the spec. Returns nothing and sets the last reason (kInvalid) if the
+// spec can't be run.
 std::optional<step_spec> CheckSpec(const step_spec& spec);
 
 // A sample as delivered to the trainer.
