--- a/packages/fleet/protocol.h
+++ b/packages/fleet/protocol.h
@@ -34,7 +34,7 @@
 struct publish_version_call {
   model_version published;
 };
-// Requests that an instance that stores data is emptied.
+// Requests to empty an instance that stores data.
 struct retire_call {
   std::string instance;
   std::chrono::milliseconds duration{0};
@@ -118,7 +118,7 @@
   int64_t slots = 0;
 };
 
-// The values that are added to a request to an endpoint as headers.
+// The values that are added to a request to an endpoint.
 struct dispatch_terms {
   std::chrono::milliseconds time_left{0};
   std::string endpoint;                // any other endpoint rejects the request
