--- a/packages/transport/http_server.h
+++ b/packages/transport/http_server.h
@@ -61,7 +61,7 @@
   http_server(const http_server&) = delete;
   http_server& operator=(const http_server&) = delete;
 
-  // False with the reason when the address can't be bound.
+  // Returns false and sets the last reason if the address can't be bound.
   bool Start();
   // Stops accepting requests. Does not wait for requests in flight; the owner
   // drains them first.
