--- a/packages/hickoryd/supervisor.h
+++ b/packages/hickoryd/supervisor.h
@@ -18,7 +18,7 @@
 
 struct child_spec {
   std::string name;
-  // False, with the last reason set, if the child fails to start.
+  // Returns false and sets the last reason if the child fails to start.
   std::function<bool()> start;
   std::function<void()> stop;
   std::function<bool()> is_healthy;  // empty: always
