--- a/packages/settings/yaml_document.h
+++ b/packages/settings/yaml_document.h
@@ -52,8 +52,8 @@
                    const std::string& file,
                    std::vector<core::finding>& findings);
 
-// Returns the names that '*' matches under `prefix`, sorted: for "pools" the
-// names of the pools.
+// Returns the names of the maps of `tree` under `prefix`, sorted: for "pools"
+// the names of the pools. They are the names that a '*' after `prefix` matches.
 std::vector<std::string> ChildNames(const value_tree& tree,
                                     const std::string& prefix);
 
