--- a/packages/settings/yaml_document.h
+++ b/packages/settings/yaml_document.h
@@ -1,9 +1,9 @@
 #ifndef HICKORYWOOD_SETTINGS_YAML_DOCUMENT_H_
 #define HICKORYWOOD_SETTINGS_YAML_DOCUMENT_H_
 
-// Parses YAML text and validates it against a schema. All invalid values of a
-// document are collected, each with its location; after a syntax error, only
-// that error is.
+// Parses YAML text and validates it against a schema. All errors of a document
+// are collected, each with its location. A document with a syntax error is not
+// checked further.
 
 #include <chrono>
 #include <cstdint>
