--- a/packages/store/step_state.h
+++ b/packages/store/step_state.h
@@ -74,10 +74,10 @@
 
   void Apply(const group::hosted_command& input) override;
   bool Restore(const std::string& data) override;
-  // Returns a snapshot as of the log index before the oldest stored step. It
-  // contains no steps: they are rebuilt from the later log entries on restart.
-  // The outputs are left out because encoding those of two minutes took several
-  // times their memory.
+  // Returns a snapshot as of the log index before the oldest stored step, or as
+  // of `applied` if there is no step. The snapshot contains no steps: they are
+  // rebuilt from the later log entries on restart. The outputs are left out
+  // because encoding those of two minutes took several times their memory.
   consensus::saved_state Save(uint64_t applied) const override;
 
   const steps::step_table& Steps() const { return content_.steps; }
