--- a/packages/store/step_service.cc
+++ b/packages/store/step_service.cc
@@ -25,15 +25,17 @@
 using peering::call_outcome;
 using peering::envelope;
 
-constexpr milliseconds kHousePeriod{500};
-// Between two commands that drop old steps; each costs a sync.
-constexpr std::chrono::seconds kForgetPeriod{10};
-// Most output in one page of results; the rest comes with the next.
-constexpr uint64_t kMostPageBytes = 1000 * 1000;
-// ... and of one that is read from disk: an entry holds results of several
-// steps, so that a few times this is decoded, some 50 ms of a small instance.
-constexpr uint64_t kMostDiskBytes = 150 * 1000;
-constexpr milliseconds kLongestWait{5000};
+constexpr milliseconds kMaintenancePeriod{500};
+// Period of the commands that remove old steps. Each command costs a disk sync.
+constexpr std::chrono::seconds kStepRemovalPeriod{10};
+// Maximum size of the outputs in one page of results. Further results are in
+// the next page.
+constexpr uint64_t kMaxPageBytes = 1000 * 1000;
+// The same for a page that is read from disk. A log entry contains results of
+// several steps, so a few times this size is decoded, which takes a small
+// instance some 50 ms.
+constexpr uint64_t kMaxDiskPageBytes = 150 * 1000;
+constexpr milliseconds kMaxWait{5000};
 
 envelope NoSuch(const std::string& what) {
   return {call_outcome::kNotFound, "", "no such " + what, ""};
@@ -67,7 +69,7 @@
       options_(options) {}
 
 void step_service::Start() {
-  asio::co_spawn(loop_, KeepHouse(), asio::detached);
+  asio::co_spawn(loop_, RunMaintenanceLoop(), asio::detached);
 }
 
 void step_service::OnChange() {
@@ -112,23 +114,22 @@
 awaitable<envelope> step_service::ReadResults(std::string payload) {
   const auto input = core::DecodeBinary<peering::read_results_request>(payload);
   if (!input) co_return Malformed();
-  const milliseconds wait =
-      std::min(milliseconds(input->wait_ms), kLongestWait);
+  const milliseconds wait = std::min(milliseconds(input->wait_ms), kMaxWait);
   const time_point until = clock_.Now() + wait;
   for (;;) {
     if (!group_.IsServing()) co_return NotLeader();
-    const steps::step* where = state_.Find(input->step);
-    if (where == nullptr) co_return NoSuch("step");
+    const steps::step* step = state_.Find(input->step);
+    if (step == nullptr) co_return NoSuch("step");
     const bool has_all =
-        where->is_ended || where->results.size() == where->input.tasks.size();
-    const bool has_news = where->results.size() > input->after;
-    if (has_news || has_all || clock_.Now() >= until) {
-      const bool is_on_disk = input->after < where->results.size() &&
-                              where->results[input->after].bytes_on_disk > 0;
+        step->is_ended || step->results.size() == step->input.tasks.size();
+    const bool has_new_results = step->results.size() > input->after;
+    if (has_new_results || has_all || clock_.Now() >= until) {
+      const bool is_on_disk = input->after < step->results.size() &&
+                              step->results[input->after].bytes_on_disk > 0;
       const uint64_t bytes = std::min(
-          input->page_bytes, is_on_disk ? kMostDiskBytes : kMostPageBytes);
-      steps::result_page page = steps::ReadPage(*where, input->after, bytes);
-      if (!FillOutputs(input->step, page)) {
+          input->page_bytes, is_on_disk ? kMaxDiskPageBytes : kMaxPageBytes);
+      steps::result_page page = steps::ReadPage(*step, input->after, bytes);
+      if (!ReadOutputs(input->step, page)) {
         LogEvent(event_id::kResultsNotRead,
                  {{"step", input->step}, {"reason", core::LastReason().text}});
         co_return envelope{call_outcome::kUnavailable, "",
@@ -140,12 +141,12 @@
   }
 }
 
-// Reads the outputs that are only on disk. Results of one entry follow each
-// other, so that each entry is read once.
-bool step_service::FillOutputs(const std::string& step,
+// Reads the outputs that are only on disk. The results of one log entry are
+// adjacent in a page, so each entry is read once.
+bool step_service::ReadOutputs(const std::string& step,
                                steps::result_page& page) {
   uint64_t index = 0;
-  std::map<uint32_t, std::string> outputs;  // of that entry, by task
+  std::map<uint32_t, std::string> outputs;  // of the entry at `index`, by task
   for (steps::task_result& item : page.results) {
     if (item.bytes_on_disk == 0) continue;
     if (item.index != index) {
@@ -156,7 +157,9 @@
       outputs = std::move(*found);
       index = item.index;
     }
-    if (!steps::TakeOutput(item, std::move(outputs[item.task]))) return false;
+    if (!steps::RestoreOutput(item, std::move(outputs[item.task]))) {
+      return false;
+    }
   }
   return true;
 }
@@ -164,19 +167,19 @@
 awaitable<envelope> step_service::ReadTask(std::string payload) {
   const auto input = core::DecodeBinary<peering::read_task_request>(payload);
   if (!input) co_return Malformed();
-  const steps::step* where = state_.Find(input->step);
-  if (where == nullptr) co_return NoSuch("step");
-  for (uint32_t i = 0; i < where->input.tasks.size(); ++i) {
-    const steps::task& task = where->input.tasks[i];
+  const steps::step* step = state_.Find(input->step);
+  if (step == nullptr) co_return NoSuch("step");
+  for (uint32_t i = 0; i < step->input.tasks.size(); ++i) {
+    const steps::task& task = step->input.tasks[i];
     if (task.id != input->task) continue;
     LogEvent(event_id::kTaskBodyRead,
              {{"step", input->step},
               {"task", input->task},
-              {"has_result", steps::HasResult(*where, i) ? "true" : "false"},
-              {"is_ended", where->is_ended ? "true" : "false"},
+              {"has_result", steps::HasResult(*step, i) ? "true" : "false"},
+              {"is_ended", step->is_ended ? "true" : "false"},
               {"bytes",
                std::to_string(task.request ? task.request->body.size() : 0)}});
-    if (!task.request) co_return NoSuch("body any more");
+    if (!task.request) co_return NoSuch("request body: it was discarded");
     co_return Done(task.request->body);
   }
   co_return NoSuch("task");
@@ -185,10 +188,10 @@
 awaitable<envelope> step_service::EndStep(std::string payload) {
   const auto input = core::DecodeBinary<peering::named_item>(payload);
   if (!input) co_return Malformed();
-  const steps::step* where = state_.Find(input->name);
-  if (where == nullptr) co_return NoSuch("step");
-  if (where->is_ended) co_return Done();
-  const size_t results = where->results.size();
+  const steps::step* step = state_.Find(input->name);
+  if (step == nullptr) co_return NoSuch("step");
+  if (step->is_ended) co_return Done();
+  const size_t results = step->results.size();
   end_step_command command;
   command.step = input->name;
   envelope answer =
@@ -200,9 +203,10 @@
   co_return answer;
 }
 
-// --- Stores that are emptied.
+// --- Retirement of stores.
 
-// Stores that hold the data or wait to, if `node` is left out.
+// Returns the number of stores that are members of the group or wait to join
+// it, without `node` and the stores that are being retired.
 size_t step_service::StoresWithout(const std::string& node) const {
   std::set<std::string> nodes = group_.Applicants();
   for (const std::string& member : group_.Members()) nodes.insert(member);
@@ -215,7 +219,7 @@
   const auto input = core::DecodeBinary<peering::named_item>(payload);
   if (!input) co_return Malformed();
   if (state_.Retired().count(input->name) != 0) co_return Done();
-  if (StoresWithout(input->name) < options_.least_stores) {
+  if (StoresWithout(input->name) < options_.min_stores) {
     co_return envelope{call_outcome::kConflict, "",
                        "too few stores would be left", ""};
   }
@@ -224,7 +228,8 @@
   co_return co_await CommitCall(kRetireCommand, core::EncodeBinary(command));
 }
 
-// A store is empty once it is no member any more: then no copy counts on it.
+// A store is retired when it is not a member of the group and no acknowledged
+// data depends on a single disk.
 awaitable<envelope> step_service::ReadRetirement(std::string payload) {
   const auto input = core::DecodeBinary<peering::named_item>(payload);
   if (!input) co_return Malformed();
@@ -232,33 +237,37 @@
   const std::vector<std::string> members = group_.Members();
   const bool is_member =
       std::find(members.begin(), members.end(), input->name) != members.end();
-  const peering::flag_answer answer{!is_member && group_.IsSpread()};
+  const peering::flag_answer answer{!is_member &&
+                                    group_.IsReplicatedBeyondOneDisk()};
   co_return Done(core::EncodeBinary(answer));
 }
 
-// --- Upkeep.
+// --- Periodic maintenance.
 
 awaitable<envelope> step_service::CommitCall(std::string name,
                                              std::string payload) {
   return group::CommitCall(group_, std::move(name), std::move(payload));
 }
 
-awaitable<void> step_service::KeepHouse() {
-  time_point forget_at = clock_.Now() + kForgetPeriod;
+awaitable<void> step_service::RunMaintenanceLoop() {
+  time_point next_removal_at = clock_.Now() + kStepRemovalPeriod;
   for (;;) {
-    co_await net::Sleep(kHousePeriod);
+    co_await net::Sleep(kMaintenancePeriod);
     if (!group_.IsServing()) continue;
-    // A leader that is to be emptied can't leave while it leads.
-    if (state_.Retired().count(group_.OwnAddress()) != 0) group_.HandOver();
-    if (clock_.Now() < forget_at) continue;
-    forget_at = clock_.Now() + kForgetPeriod;
-    co_await ForgetOldSteps();
+    // A leader that is being retired must transfer leadership before it can
+    // leave the group.
+    if (state_.Retired().count(group_.OwnAddress()) != 0) {
+      group_.TransferLeadership();
+    }
+    if (clock_.Now() < next_removal_at) continue;
+    next_removal_at = clock_.Now() + kStepRemovalPeriod;
+    co_await RemoveOldSteps();
   }
 }
 
-awaitable<void> step_service::ForgetOldSteps() {
+awaitable<void> step_service::RemoveOldSteps() {
   const int64_t now_ms = core::ToUnixMillis(clock_.WallNow());
-  forget_steps_command command;
+  remove_steps_command command;
   command.ended_before_ms = now_ms - options_.step_retention.count();
   command.opened_before_ms = now_ms - options_.open_step_retention.count();
   const bool has_old =
@@ -267,7 +276,7 @@
                     return item.second.opened_ms < command.ended_before_ms;
                   });
   if (!has_old) co_return;
-  co_await group_.Commit(kForgetStepsCommand, core::EncodeBinary(command));
+  co_await group_.Commit(kRemoveStepsCommand, core::EncodeBinary(command));
 }
 
 }  // namespace hickorywood::store
--- a/packages/store/step_state.h
+++ b/packages/store/step_state.h
@@ -1,8 +1,8 @@
 #ifndef HICKORYWOOD_STORE_STEP_STATE_H_
 #define HICKORYWOOD_STORE_STEP_STATE_H_
 
-// What a data group replicates: steps with their tasks and results, and which
-// stores shall be empty.
+// The replicated state of a data group: the steps with their tasks and results,
+// and the stores that are being retired.
 
 #include <cstdint>
 #include <set>
@@ -19,7 +19,8 @@
 constexpr char kAddResultsCommand[] = "add_results";
 constexpr char kAddProgressCommand[] = "add_progress";
 constexpr char kEndStepCommand[] = "end_step";
-constexpr char kForgetStepsCommand[] = "forget_steps";
+// The text is the name of the command in existing logs.
+constexpr char kRemoveStepsCommand[] = "forget_steps";
 constexpr char kRetireCommand[] = "retire";
 
 struct step_results {
@@ -49,11 +50,15 @@
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(end_step_command, step)
 
-struct forget_steps_command {
-  int64_t ended_before_ms = 0;   // ended steps submitted before are dropped
-  int64_t opened_before_ms = 0;  // and all steps submitted before this
+// Both times are Unix times in milliseconds and are compared with the time at
+// which a step was opened.
+struct remove_steps_command {
+  // Ended steps that were opened before this time are removed.
+  int64_t ended_before_ms = 0;
+  // Steps that have not ended and were opened before this time are removed.
+  int64_t opened_before_ms = 0;
 };
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(forget_steps_command,
+NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(remove_steps_command,
                                                 ended_before_ms,
                                                 opened_before_ms)
 
@@ -64,30 +69,31 @@
 
 class step_state : public group::hosted_state {
  public:
-  // `output_budget`: bytes of outputs of ended steps that stay in memory.
+  // `output_budget`: maximum bytes of outputs of ended steps in memory.
   explicit step_state(size_t output_budget) : output_budget_(output_budget) {}
 
   void Apply(const group::hosted_command& input) override;
   bool Restore(const std::string& data) override;
-  // The state before the oldest step that is held. All that came later is
-  // replayed from the log, which holds it anyway: a snapshot with the texts of
-  // two minutes took several times their memory while it was made.
+  // Returns a snapshot as of the log index before the oldest stored step, or as
+  // of `applied` if there is no step. The snapshot contains no steps: they are
+  // rebuilt from the later log entries on restart. The outputs are left out
+  // because encoding those of two minutes took several times their memory.
   consensus::saved_state Save(uint64_t applied) const override;
 
-  const steps::step_book& Steps() const { return held_.steps; }
-  // nullptr: there is none.
+  const steps::step_table& Steps() const { return content_.steps; }
+  // Returns nullptr if there is no such step.
   const steps::step* Find(const std::string& id) const;
-  // Stores that are to be emptied, by peer address.
-  const std::set<std::string>& Retired() const { return held_.retired; }
+  // Peer addresses of the stores that are being retired.
+  const std::set<std::string>& Retired() const { return content_.retired; }
 
   struct content {
-    steps::step_book steps;
+    steps::step_table steps;
     std::set<std::string> retired;
   };
 
  private:
   const size_t output_budget_;
-  content held_;
+  content content_;
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(step_state::content, steps,
                                                 retired)
--- a/packages/store/store_instance.cc
+++ b/packages/store/store_instance.cc
@@ -13,7 +13,7 @@
 #include "peering/leader_caller.h"
 #include "peering/peer_interface.h"
 #include "peering/view_follower.h"
-#include "quarantine/crash_watch.h"
+#include "quarantine/crash_detector.h"
 #include "store/dispatcher.h"
 #include "store/remote_runner.h"
 #include "store/step_service.h"
@@ -29,8 +29,9 @@
 using core::milliseconds;
 
 constexpr char kGroupName[] = "data";
-// Time for a hand-over to reach the successor before the listener closes.
-constexpr milliseconds kHandOverTime{300};
+// Time for a leadership transfer to reach the successor before the listener
+// closes.
+constexpr milliseconds kLeadershipTransferTime{300};
 
 peering::follower_options FollowerOptions(
     const settings::node_settings& settings) {
@@ -48,7 +49,7 @@
 step_service_options ServiceOptions(const settings::node_settings& settings) {
   step_service_options options;
   options.step_retention = settings.step_retention;
-  options.least_stores = settings.DataVoters();
+  options.min_stores = settings.DataVoters();
   return options;
 }
 
@@ -68,8 +69,8 @@
         follower(caller, FollowerOptions(node)),
         service(io, runtime, group, state, ServiceOptions(node)),
         crashes(io, runtime, pool, follower.View(),
-                [this](fleet::crash_news news) {
-                  return peering::TellCrashNews(caller, std::move(news));
+                [this](fleet::crash_update update) {
+                  return peering::SendCrashUpdate(caller, std::move(update));
                 }),
         sender(io, runtime, pool, wire, follower.View(), crashes, node.zone),
         dispatch(io, runtime, group, state, pool, sender, crashes, wire,
@@ -80,46 +81,48 @@
         peers(io, peering::PeerListenerOptions(node.peers_address),
               [this](net::exchange& call) { return ServePeer(call); }) {
     group.on_leadership = [this](bool is_leader) {
-      has_steps_to_note = is_leader;
+      must_log_loaded_steps = is_leader;
       dispatch.OnLeadership(is_leader);
       service.OnChange();
     };
     group.on_applied = [this] {
-      NoteStepsHeld();
+      LogLoadedSteps();
       service.OnChange();
       dispatch.OnApplied();
     };
     group.on_failure = [this] { loop.stop(); };
-    // Followers too: a new leader must know at once which engine has what.
-    follower.WantWeights(true);
-    follower.TellDemands([this] { return dispatch.Demands(); });
+    // Followers request the weights too, because a new leader needs the weights
+    // of all engines at once.
+    follower.RequestWeights(true);
+    follower.SetDemandSource([this] { return dispatch.Demands(); });
     follower.OnChange([this] { OnView(); });
   }
 
   void OnView() {
     const fleet::view& view = follower.View();
     group.SetContacts(peering::StoreAddresses(view));
-    leader.SetControllers(peering::StoreAddresses(view));
+    leader.SetInstances(peering::StoreAddresses(view));
     const bool is_founder = settings.is_first_start &&
                             view.members.data_founder == settings.peers_address;
-    if (is_founder) group.Found();
-    sender.OnEndpoints();
+    if (is_founder) group.Bootstrap();
+    sender.OnEndpointsChanged();
     crashes.OnView();
     dispatch.OnView();
   }
 
-  // After a loss of disks it tells a step that is gone from one that nobody
-  // finds. Only a leader that serves has applied all that was accepted.
-  void NoteStepsHeld() {
-    if (!has_steps_to_note || !group.IsServing()) return;
-    has_steps_to_note = false;
+  // Logs the steps that a new leader has loaded. After a loss of disks the
+  // entry shows whether a missing step was lost or is just not found. Only a
+  // leader that serves has applied all accepted commands.
+  void LogLoadedSteps() {
+    if (!must_log_loaded_steps || !group.IsServing()) return;
+    must_log_loaded_steps = false;
     size_t ended = 0;
     size_t results = 0;
     for (const auto& [id, step] : state.Steps()) {
       ended += step.is_ended ? 1 : 0;
       results += step.results.size();
     }
-    LogEvent(event_id::kStepsHeld,
+    LogEvent(event_id::kStepsLoadedByLeader,
              {{"steps", std::to_string(state.Steps().size())},
               {"ended", std::to_string(ended)},
               {"results", std::to_string(results)}});
@@ -137,7 +140,7 @@
   }
 
   awaitable<peering::envelope> Handle(std::string method, std::string payload) {
-    const bool is_of_runner = method == peering::kTakeOrdersMethod ||
+    const bool is_of_runner = method == peering::kPollOrdersMethod ||
                               method == peering::kReportRunsMethod;
     return is_of_runner
                ? dispatch.HandleRunner(std::move(method), std::move(payload))
@@ -148,8 +151,8 @@
     LogEvent(event_id::kProcessStopping, {{"instance", settings.id}});
     dispatch.OnLeadership(false);
     runner.Stop();
-    group.HandOver();
-    co_await net::Sleep(kHandOverTime);
+    group.TransferLeadership();
+    co_await net::Sleep(kLeadershipTransferTime);
     peers.StopAccepting();
     LogEvent(event_id::kProcessStopped, {{"instance", settings.id}});
     loop.stop();
@@ -163,13 +166,13 @@
   peering::leader_caller caller;
   peering::view_follower follower;
   step_service service;
-  quarantine::crash_watch crashes;
+  quarantine::crash_detector crashes;
   routing::request_sender sender;
   dispatcher dispatch;
-  peering::leader_caller leader;  // of the data group
+  peering::leader_caller leader;  // calls the leader of the data group
   remote_runner runner;
   net::listener peers;
-  bool has_steps_to_note = false;
+  bool must_log_loaded_steps = false;
 };
 
 store_instance::store_instance(asio::io_context& loop,
--- a/scripts/run-tests.sh
+++ b/scripts/run-tests.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Runs all tests. Tests named in KNOWN-RED.txt (one a line: test, cause, issue) are run by themselves
-# and printed, and don't decide the verdict.
+# Runs all tests. Tests listed in KNOWN-RED.txt (one per line: test, cause, issue) are run separately
+# and printed, and do not affect the exit code.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 build=${1:-build}
@@ -8,10 +8,10 @@
 exclude=()
 [ -n "$red" ] && exclude=(-E "^($red)\$")
 ctest --test-dir "$build" --output-on-failure -j 4 "${exclude[@]}"
-verdict=$?
+status=$?
 if [ -n "$red" ]; then
   echo "known red, not counted:"
   cat KNOWN-RED.txt
   ctest --test-dir "$build" -R "^($red)\$" || true
 fi
-exit $verdict
+exit $status
--- a/tests/unit/core/events_test.cc
+++ b/tests/unit/core/events_test.cc
@@ -26,14 +26,14 @@
     if (line.rfind("| HK", 0) == 0) documented.insert(line.substr(2, 6));
   }
   std::set<std::string> in_code;
-  for (const event_info& info : EventCatalogue()) {
+  for (const event_info& info : AllEvents()) {
     in_code.insert("HK" + std::to_string(static_cast<int>(info.id)));
   }
   EXPECT_EQ(documented, in_code);
 }
 
-// An operator waits for an event that the catalogue promises; it must be logged
-// somewhere.
+// Every event declared in events.h must be logged by some source file, because
+// operators rely on the documented events.
 TEST(EventsTest, EveryEventIsLoggedSomewhere) {
   std::string sources;
   const std::filesystem::path root = std::string(SOURCE_FOLDER) + "/packages";
@@ -52,9 +52,9 @@
   }
 }
 
-TEST(EventsTest, NumbersAreUniqueAndRise) {
+TEST(EventsTest, NumbersAreUniqueAndAscending) {
   int last = 0;
-  for (const event_info& info : EventCatalogue()) {
+  for (const event_info& info : AllEvents()) {
     EXPECT_GT(static_cast<int>(info.id), last);
     last = static_cast<int>(info.id);
   }
--- a/tests/unit/fleet/view_log_test.cc
+++ b/tests/unit/fleet/view_log_test.cc
@@ -43,19 +43,19 @@
   return list;
 }
 
-// A process that follows a thousand endpoints and misses one change gets that
-// one, not the thousand: the leader sends it to every process.
-TEST(ViewLogTest, OneChangeIsToldAlone) {
+// A process that follows a thousand endpoints and lacks two changes gets only
+// these, because the leader sends them to every process.
+TEST(ViewLogTest, OnlyChangesAreSent) {
   view_log log;
   BeginTerm(log, 3);
   std::vector<endpoint> list = MakeEndpoints(1000);
-  ASSERT_TRUE(TellEndpoints(log, list));
+  ASSERT_TRUE(UpdateEndpoints(log, list));
   view held;
   Follow(held, log);
   ASSERT_EQ(held.endpoints.size(), 1000U);
   list[17].state = endpoint_state::kDraining;
   list.pop_back();
-  ASSERT_TRUE(TellEndpoints(log, list));
+  ASSERT_TRUE(UpdateEndpoints(log, list));
   const view_update update = MakeUpdate(log, RequestOf(held));
   EXPECT_EQ(update.lists, list_part::kChanges);
   ASSERT_EQ(update.endpoints.size(), 1U);
@@ -63,52 +63,53 @@
   EXPECT_EQ(update.gone, std::vector<std::string>{"i-999"});
   EXPECT_TRUE(ApplyUpdate(held, update));
   EXPECT_EQ(held.endpoints.size(), 999U);
-  EXPECT_FALSE(HasNews(log, RequestOf(held)));
+  EXPECT_FALSE(HasChangesFor(log, RequestOf(held)));
 }
 
-TEST(ViewLogTest, WhatIsToldAgainIsNoNews) {
+TEST(ViewLogTest, UnchangedItemsAreNoChange) {
   view_log log;
   BeginTerm(log, 1);
-  EXPECT_TRUE(TellEndpoints(log, MakeEndpoints(2)));
-  EXPECT_FALSE(TellEndpoints(log, MakeEndpoints(2)));
-  EXPECT_TRUE(TellWeights(log, {{"i-0", "m", 4, false}}));
-  EXPECT_FALSE(TellWeights(log, {{"i-0", "m", 4, false}}));
-  EXPECT_TRUE(TellWeights(log, {{"i-0", "m", 4, true}}));
+  EXPECT_TRUE(UpdateEndpoints(log, MakeEndpoints(2)));
+  EXPECT_FALSE(UpdateEndpoints(log, MakeEndpoints(2)));
+  EXPECT_TRUE(UpdateWeights(log, {{"i-0", "m", 4, false}}));
+  EXPECT_FALSE(UpdateWeights(log, {{"i-0", "m", 4, false}}));
+  EXPECT_TRUE(UpdateWeights(log, {{"i-0", "m", 4, true}}));
 }
 
-// A request that takes endpoints down is named to all, and taken off again,
-// without the list of endpoints being sent anew.
-TEST(ViewLogTest, WarningsAreToldAndLiftedAlone) {
+// A warning about a request is sent to all processes, and removed again,
+// without sending the list of endpoints.
+TEST(ViewLogTest, WarningsAreAddedAndRemovedAlone) {
   view_log log;
   BeginTerm(log, 1);
-  TellEndpoints(log, MakeEndpoints(3));
+  UpdateEndpoints(log, MakeEndpoints(3));
   view held;
   Follow(held, log);
   request_warning first{"d1", "customer", {"a", "b", "c"}, true, 600, 1};
   request_warning second{"d2", "customer", {"a", "b"}};
-  ASSERT_TRUE(TellWarnings(log, {first, second}));
-  EXPECT_FALSE(TellWarnings(log, {first, second}));
+  ASSERT_TRUE(UpdateWarnings(log, {first, second}));
+  EXPECT_FALSE(UpdateWarnings(log, {first, second}));
   const view_update update = MakeUpdate(log, RequestOf(held));
   EXPECT_TRUE(update.endpoints.empty());
   ASSERT_TRUE(ApplyUpdate(held, update));
   EXPECT_EQ(held.warnings, (std::vector<request_warning>{first, second}));
   second.ends.push_back("d");
-  ASSERT_TRUE(TellWarnings(log, {second}));
+  ASSERT_TRUE(UpdateWarnings(log, {second}));
   Follow(held, log);
   EXPECT_EQ(held.warnings, std::vector<request_warning>{second});
   EXPECT_EQ(held.endpoints.size(), 3U);
 }
 
-// A process held a version of a leader that is gone. Its successor counts anew,
-// so that the same count says nothing: everything is told whole.
-TEST(ViewLogTest, AnotherTermIsToldWhole) {
+// A process has a version of a leader that crashed. Its successor counts from
+// the beginning, so an equal count means nothing: the process gets the complete
+// lists.
+TEST(ViewLogTest, AnotherTermGetsCompleteLists) {
   view_log log;
   BeginTerm(log, 1);
-  TellEndpoints(log, MakeEndpoints(3));
+  UpdateEndpoints(log, MakeEndpoints(3));
   view held;
   Follow(held, log);
   BeginTerm(log, 2);
-  TellEndpoints(log, MakeEndpoints(2));
+  UpdateEndpoints(log, MakeEndpoints(2));
   ASSERT_EQ(held.version.count, log.count);
   const view_update update = MakeUpdate(log, RequestOf(held));
   EXPECT_EQ(update.lists, list_part::kAll);
@@ -116,40 +117,40 @@
   EXPECT_EQ(held.endpoints.size(), 2U);
 }
 
-// A process was frozen while more endpoints went than are remembered.
-TEST(ViewLogTest, WhoIsTooFarBehindIsToldWhole) {
+// A process was suspended while more endpoints were removed than are recorded.
+TEST(ViewLogTest, OutdatedFollowerGetsCompleteLists) {
   view_log log;
   BeginTerm(log, 1);
-  TellEndpoints(log, MakeEndpoints(1));
+  UpdateEndpoints(log, MakeEndpoints(1));
   view held;
   Follow(held, log);
   for (int round = 0; round < 6; ++round) {
-    TellEndpoints(log, MakeEndpoints(1000));
-    TellEndpoints(log, MakeEndpoints(1));
+    UpdateEndpoints(log, MakeEndpoints(1000));
+    UpdateEndpoints(log, MakeEndpoints(1));
   }
   const view_update update = MakeUpdate(log, RequestOf(held));
   EXPECT_EQ(update.lists, list_part::kAll);
   EXPECT_LT(log.gone.size(), 6000U);
 }
 
-// Changes count from what the asker held. One that holds something else by now
-// must not take them.
-TEST(ViewLogTest, ChangesOfAnotherBaseAreNotTaken) {
+// Changes are relative to the version of the requester. A process that has
+// another version by then must reject them.
+TEST(ViewLogTest, ChangesOfAnotherBaseAreRejected) {
   view_log log;
   BeginTerm(log, 1);
-  TellEndpoints(log, MakeEndpoints(2));
+  UpdateEndpoints(log, MakeEndpoints(2));
   view held;
   Follow(held, log);
-  TellEndpoints(log, MakeEndpoints(3));
+  UpdateEndpoints(log, MakeEndpoints(3));
   view_update update = MakeUpdate(log, RequestOf(held));
   update.base.count -= 1;
   EXPECT_FALSE(ApplyUpdate(held, update));
   EXPECT_EQ(held.endpoints.size(), 2U);
 }
 
-// Whatever changes and whenever a process asks, it holds in the end exactly
-// what the leader told last.
-RC_GTEST_PROP(ViewLogTest, FollowersEndWithTheLeadersLists, ()) {
+// For any changes and any times of its requests, a process finally has exactly
+// the lists that the leader recorded last.
+RC_GTEST_PROP(ViewLogTest, FollowersConvergeToTheListsOfTheLeader, ()) {
   constexpr int kEndpoints = 6;
   view_log log;
   BeginTerm(log, 1);
@@ -184,8 +185,8 @@
     for (const auto& [key, version] : versions) {
       weights.push_back({"i-" + std::to_string(key), "m", version, false});
     }
-    TellEndpoints(log, list);
-    TellWeights(log, weights);
+    UpdateEndpoints(log, list);
+    UpdateWeights(log, weights);
   }
   Follow(held, log);
   std::vector<endpoint> expected;
--- a/tests/unit/hickoryd/event_metrics_test.cc
+++ b/tests/unit/hickoryd/event_metrics_test.cc
@@ -14,18 +14,18 @@
 using ::testing::Not;
 
 const core::event_info& Info(core::event_id id) {
-  for (const core::event_info& info : core::EventCatalogue()) {
+  for (const core::event_info& info : core::AllEvents()) {
     if (info.id == id) return info;
   }
-  return core::EventCatalogue().front();
+  return core::AllEvents().front();
 }
 
-TEST(EventMetricsTest, EventsAreCountedAndTheirDurationsKept) {
+TEST(EventMetricsTest, CountsEventsAndRecordsDurations) {
   event_metrics metrics;
   const core::event_info& answered = Info(core::event_id::kRequestAnswered);
-  metrics.Note(answered, {{"request", "a"}, {"ms", "30"}});
-  metrics.Note(answered, {{"request", "b"}, {"ms", "200"}});
-  metrics.Note(Info(core::event_id::kLeaderElected), {{"term", "3"}});
+  metrics.Record(answered, {{"request", "a"}, {"ms", "30"}});
+  metrics.Record(answered, {{"request", "b"}, {"ms", "200"}});
+  metrics.Record(Info(core::event_id::kLeaderElected), {{"term", "3"}});
   const std::string text = metrics.Text();
   EXPECT_THAT(text, HasSubstr("hickory_events_total{event=\"HK5005\","
                               "level=\"info\",subsystem=\"routing\"} 2"));
@@ -37,16 +37,16 @@
   EXPECT_THAT(text, Not(HasSubstr("duration_seconds_count{event=\"HK2005\"")));
 }
 
-// A duration that is no number counts as an event and nothing else.
-TEST(EventMetricsTest, BadDurationIsLeftOut) {
+// An event with a malformed duration is counted, but its duration is ignored.
+TEST(EventMetricsTest, MalformedDurationIsIgnored) {
   event_metrics metrics;
-  metrics.Note(Info(core::event_id::kRequestAnswered), {{"ms", "soon"}});
+  metrics.Record(Info(core::event_id::kRequestAnswered), {{"ms", "soon"}});
   EXPECT_THAT(metrics.Text(),
               HasSubstr("hickory_events_total{event=\"HK5005\""));
   EXPECT_THAT(metrics.Text(), Not(HasSubstr("duration_seconds_count")));
 }
 
-TEST(EventMetricsTest, PageNamesAllFamilies) {
+TEST(EventMetricsTest, PageListsAllFamilies) {
   std::ifstream file(std::string(SOURCE_FOLDER) + "/docs/metrics.md");
   std::ostringstream page;
   page << file.rdbuf();
--- a/tests/unit/peering/leader_caller_test.cc
+++ b/tests/unit/peering/leader_caller_test.cc
@@ -1,5 +1,5 @@
-// Calls between the system's own instances, where an answer could be read as
-// the answer to another call.
+// Calls between the processes of this service, in which a response could be
+// mistaken for the response to another call.
 
 #include "peering/leader_caller.h"
 
@@ -16,7 +16,7 @@
 #include "core/binary.h"
 #include "net/listener.h"
 #include "peering/peer_interface.h"
-#include "support/stuttering_server.h"
+#include "support/duplicate_response_server.h"
 
 namespace hickorywood::peering {
 namespace {
@@ -26,7 +26,7 @@
 using core::milliseconds;
 
 constexpr int kCalls = 3;
-constexpr int kTries = 3;
+constexpr int kAttempts = 3;
 constexpr milliseconds kSlack{300};
 constexpr milliseconds kLimit{60000};
 
@@ -43,24 +43,24 @@
 }
 
 struct series {
-  net::stutter script;
+  net::duplicate_response script;
   int answered = 0;
   std::vector<std::string> wrong;
-  bool is_over = false;
+  bool is_finished = false;
 };
 
 awaitable<void> MakeCalls(io_context& loop, series& self) {
-  net::stuttering_server peer(loop, self.script, Answer);
+  net::duplicate_response_server peer(loop, self.script, Answer);
   net::connection_pool pool(loop);
   leader_caller caller(pool, {});
   for (int i = 0; i < kCalls; ++i) {
     net::request input;
     input.body = "payload " + std::to_string(i);
-    for (int attempt = 0; attempt < kTries; ++attempt) {
+    for (int attempt = 0; attempt < kAttempts; ++attempt) {
       const core::time_point deadline =
           std::chrono::steady_clock::now() + self.script.work + kSlack;
-      const envelope answer = co_await caller.AskOne(peer.Address(), "method",
-                                                     input.body, deadline);
+      const envelope answer = co_await caller.AttemptCall(
+          peer.Address(), "method", input.body, deadline);
       if (answer.outcome != call_outcome::kDone) continue;
       ++self.answered;
       const std::string own = Payload(input, peer.Requests(), false);
@@ -68,52 +68,54 @@
       break;
     }
   }
-  self.is_over = true;
+  self.is_finished = true;
 }
 
-// Runs all series at once.
+// Runs all series concurrently.
 void RunAll(std::list<series>& all) {
   io_context loop;
-  size_t over = 0;
-  for (series& one : all) {
-    boost::asio::co_spawn(loop, MakeCalls(loop, one),
-                          [&loop, &over, &all](const std::exception_ptr&) {
-                            if (++over == all.size()) loop.stop();
+  size_t finished = 0;
+  for (series& item : all) {
+    boost::asio::co_spawn(loop, MakeCalls(loop, item),
+                          [&loop, &finished, &all](const std::exception_ptr&) {
+                            if (++finished == all.size()) loop.stop();
                           });
   }
   loop.run_for(kLimit);
-  for (const series& one : all) {
+  for (const series& item : all) {
     std::ostringstream name;
-    name << one.script;
-    EXPECT_TRUE(one.is_over) << name.str();
-    EXPECT_EQ(one.answered, kCalls) << name.str();
-    for (const std::string& payload : one.wrong) {
+    name << item.script;
+    EXPECT_TRUE(item.is_finished) << name.str();
+    EXPECT_EQ(item.answered, kCalls) << name.str();
+    for (const std::string& payload : item.wrong) {
       ADD_FAILURE() << name.str() << ": " << payload;
     }
   }
 }
 
-// Guards against a body, a page of results or a view that belongs to another
-// call.
-TEST(LeaderCallerTest, SecondAnswersBelongToNoCall) {
+// Guards against a request body, a page of results or a view that belongs to
+// another call.
+TEST(LeaderCallerTest, SecondResponsesAreIgnored) {
   std::list<series> all;
-  for (const net::stutter& script : net::AllStutters()) all.push_back({script});
+  for (const net::duplicate_response& script : net::AllDuplicateResponses()) {
+    all.push_back({script});
+  }
   RunAll(all);
 }
 
-// Guards against instances that can't talk to those of the release before,
-// whose answers name no call.
-TEST(LeaderCallerTest, PeersThatNameNoCallAreHeard) {
+// Guards against instances that can't communicate with those of the previous
+// release, whose responses contain no call id.
+TEST(LeaderCallerTest, ResponsesWithoutCallIdAreAccepted) {
   std::list<series> all;
-  for (net::stutter script : net::AllStutters()) {
-    script.names_own = false;
+  for (net::duplicate_response script : net::AllDuplicateResponses()) {
+    script.contains_own_id = false;
     all.push_back({script});
   }
   RunAll(all);
 }
 
-// Guards against a connection for each call between instances that do name the
-// call.
+// Guards against a new connection for each call between instances whose
+// responses contain the call id.
 TEST(LeaderCallerTest, ConnectionsToPeersAreReused) {
   io_context loop;
   net::listener peer(
@@ -139,7 +141,7 @@
   const auto call_all = [&]() -> awaitable<void> {
     for (int i = 0; i < kCalls; ++i) {
       const std::string payload = std::to_string(i);
-      const envelope answer = co_await caller.AskOne(
+      const envelope answer = co_await caller.AttemptCall(
           address, "m", payload, std::chrono::steady_clock::now() + kLimit);
       if (answer.payload == "m" + payload) ++answered;
     }
--- a/tests/unit/rollout/step_test.cc
+++ b/tests/unit/rollout/step_test.cc
@@ -38,56 +38,58 @@
   return result;
 }
 
-TEST(StepTest, BatchesAreWholeGroupsOfReplicatedSamples) {
+TEST(StepTest, BatchesAreCompleteGroupsOfReplicatedSamples) {
   step_run step = StartStep(Spec(2, 2), 1, kStart);
   const auto launches = NextLaunches(step, {}, kStart, 10);
   ASSERT_EQ(launches.size(), 4U);
   for (const launch& item : launches) {
-    NoteComplete(step, item.attempt, Sample(item.slot, 1), kStart);
+    RecordComplete(step, item.attempt, Sample(item.slot, 1), kStart);
   }
   EXPECT_TRUE(FormBatch(step, 1, 2, 10).slots.empty());
-  for (const int64_t slot : {0, 1, 2}) NoteReplicated(step, slot);
+  for (const int64_t slot : {0, 1, 2}) RecordReplicated(step, slot);
   EXPECT_EQ(FormBatch(step, 1, 2, 10).slots, (std::vector<int64_t>{0, 1}));
 }
 
-// A sample that became stale between its completion and its delivery is
+// A sample that becomes stale between its completion and its delivery is
 // generated again.
 TEST(StepTest, StaleSampleIsGeneratedAgain) {
   step_run step = StartStep(Spec(1, 1), 1, kStart);
   const launch first = NextLaunches(step, {}, kStart, 1).front();
-  NoteComplete(step, first.attempt, Sample(0, 1), kStart);
-  NoteReplicated(step, 0);
+  RecordComplete(step, first.attempt, Sample(0, 1), kStart);
+  RecordReplicated(step, 0);
   const formed_batch batch = FormBatch(step, 4, 2, 10);
   EXPECT_TRUE(batch.slots.empty());
   EXPECT_EQ(batch.discarded, std::vector<int64_t>{0});
   EXPECT_EQ(NextLaunches(step, {}, kStart, 1).size(), 1U);
 }
 
-// The copy starts from where the slow original has got to; when one is complete
-// the other is cancelled, and a late completion of the loser changes nothing.
-TEST(StepTest, HedgeRacesFromTheTokenReached) {
+// A hedge continues from the current text of the slow original. When one
+// attempt is complete, the other is cancelled, and a late completion of the
+// losing attempt has no effect.
+TEST(StepTest, HedgeContinuesFromTheTextOfTheOriginal) {
   step_run step = StartStep(Spec(8, 1), 1, kStart);
   const auto launches = NextLaunches(step, {}, kStart, 8);
   for (size_t i = 0; i < 7; ++i) {
-    NoteComplete(step, launches[i].attempt, Sample(launches[i].slot, 1, 1000),
-                 kStart + milliseconds(100));
+    RecordComplete(step, launches[i].attempt, Sample(launches[i].slot, 1, 1000),
+                   kStart + milliseconds(100));
   }
-  NoteProgress(step, 7, launches[7].attempt, Text(1, 900));
+  RecordProgress(step, 7, launches[7].attempt, Text(1, 900));
   EXPECT_TRUE(NextLaunches(step, {}, kStart + milliseconds(200), 8).empty());
   const auto hedges = NextLaunches(step, {}, kStart + milliseconds(251), 8);
   ASSERT_EQ(hedges.size(), 1U);
   EXPECT_TRUE(hedges[0].is_hedge);
   EXPECT_EQ(hedges[0].resume.token_count, 900);
   EXPECT_TRUE(NextLaunches(step, {}, kStart + milliseconds(300), 8).empty());
-  NoteProgress(step, 7, launches[7].attempt, Text(1, 950));
-  const completion_result won = NoteComplete(
+  RecordProgress(step, 7, launches[7].attempt, Text(1, 950));
+  const completion_result won = RecordComplete(
       step, hedges[0].attempt, Sample(7, 1, 1000), kStart + milliseconds(400));
   EXPECT_TRUE(won.is_accepted);
   EXPECT_EQ(won.cancel_attempts, std::vector<uint64_t>{launches[7].attempt});
   EXPECT_EQ(step.hedge_tokens,
-            50);  // what the original generated after the copy took over
-  EXPECT_FALSE(NoteComplete(step, launches[7].attempt, Sample(7, 1),
-                            kStart + milliseconds(500))
+            50);  // tokens that the original generated after the hedge resumed
+                  // its text
+  EXPECT_FALSE(RecordComplete(step, launches[7].attempt, Sample(7, 1),
+                              kStart + milliseconds(500))
                    .is_accepted);
 }
 
@@ -95,10 +97,10 @@
   step_run step = StartStep(Spec(20, 1), 1, kStart);
   const auto launches = NextLaunches(step, {}, kStart, 20);
   for (size_t i = 0; i < 10; ++i) {
-    NoteComplete(step, launches[i].attempt, Sample(launches[i].slot, 1, 100),
-                 kStart + milliseconds(10));
+    RecordComplete(step, launches[i].attempt, Sample(launches[i].slot, 1, 100),
+                   kStart + milliseconds(10));
   }
-  // 5% of 1000 tokens pay for no copy of 100 expected tokens.
+  // 5% of 1000 tokens are less than one hedge of 100 expected tokens.
   EXPECT_TRUE(NextLaunches(step, {}, kStart + milliseconds(1000), 20).empty());
   hedge_policy generous;
   generous.token_budget = 0.25;
@@ -106,7 +108,7 @@
       NextLaunches(step, generous, kStart + milliseconds(1000), 20).size(), 2U);
 }
 
-TEST(StepTest, SpecsThatCantRunAreRefused) {
+TEST(StepTest, InvalidSpecsAreRejected) {
   EXPECT_TRUE(CheckSpec(Spec(1, 1)));
   EXPECT_FALSE(CheckSpec(Spec(0, 1)));
   EXPECT_FALSE(CheckSpec(Spec(1, 0)));
@@ -118,8 +120,8 @@
   EXPECT_FALSE(CheckSpec(spec));
 }
 
-// Any order of launches, failures, completions, staleness and deliveries: each
-// slot is delivered once, always within the bound.
+// For any order of launches, failures, completions, staleness and deliveries,
+// each slot is delivered once, and its sample is always within the bound.
 RC_GTEST_PROP(StepTest, EachSlotIsDeliveredOnceWithinTheBound, ()) {
   step_run step = StartStep(Spec(5, 2), 1, kStart);
   std::vector<launch> running;
@@ -141,18 +143,18 @@
       case 2:
       case 3:
         if (running.empty()) break;
-        NoteComplete(step, running[which].attempt,
-                     Sample(running[which].slot, version), now);
+        RecordComplete(step, running[which].attempt,
+                       Sample(running[which].slot, version), now);
         running.erase(running.begin() + static_cast<std::ptrdiff_t>(which));
         break;
       case 4:
         if (running.empty()) break;
-        NoteFailed(step, running[which].slot, running[which].attempt, now,
-                   milliseconds(5));
+        RecordFailed(step, running[which].slot, running[which].attempt, now,
+                     milliseconds(5));
         running.erase(running.begin() + static_cast<std::ptrdiff_t>(which));
         break;
       case 5:
-        for (int64_t slot = 0; slot < 10; ++slot) NoteReplicated(step, slot);
+        for (int64_t slot = 0; slot < 10; ++slot) RecordReplicated(step, slot);
         version += action % 3 == 0 ? 1 : 0;
         break;
       default: {
@@ -169,7 +171,7 @@
   }
 }
 
-TEST(LabelTest, ChunksMustFitTogether) {
+TEST(LabelTest, ChunksMustBeContiguous) {
   generated_text text;
   EXPECT_TRUE(AppendChunk(text, "r", {"r", 0, 2, "ab", 1, ""}));
   EXPECT_FALSE(AppendChunk(text, "r", {"r", 3, 2, "cd", 1, ""}));  // a gap
@@ -183,19 +185,19 @@
   EXPECT_TRUE(IsLabelComplete(text));
 }
 
-TEST(BodyStoreTest, LimitIsKeptAndGivenBack) {
+TEST(BodyStoreTest, LimitIsEnforcedAndReleased) {
   body_store store;
   store.byte_limit = 100;
-  EXPECT_TRUE(HoldSpec(store, "a", std::string(40, 'x'), kStart));
-  EXPECT_TRUE(HoldSample(store, "a", 1, std::string(60, 'x'), kStart));
-  EXPECT_FALSE(HoldSample(store, "a", 2, "x", kStart));
-  DropSample(store, "a", 1);
-  EXPECT_TRUE(HoldSample(store, "a", 2, std::string(60, 'x'), kStart));
-  DropIdle(store, kStart + milliseconds(10), milliseconds(5));
+  EXPECT_TRUE(StoreSpec(store, "a", std::string(40, 'x'), kStart));
+  EXPECT_TRUE(StoreSample(store, "a", 1, std::string(60, 'x'), kStart));
+  EXPECT_FALSE(StoreSample(store, "a", 2, "x", kStart));
+  RemoveSample(store, "a", 1);
+  EXPECT_TRUE(StoreSample(store, "a", 2, std::string(60, 'x'), kStart));
+  EvictIdleSteps(store, kStart + milliseconds(10), milliseconds(5));
   EXPECT_EQ(store.bytes, 0U);
 }
 
-TEST(BurnTest, WindowsForgetAndRatesCompareWithTheBudget) {
+TEST(BurnTest, WindowsAreLimitedAndRatesRelateToTheBudget) {
   burn_recorder recorder;
   const core::wall_time now{std::chrono::hours(1000)};
   AddBurn(recorder, objective::kTrainerIdle, "p", 90, 10, "generation",
--- a/tests/unit/settings/documentation_test.cc
+++ b/tests/unit/settings/documentation_test.cc
@@ -1,5 +1,5 @@
-// docs/configuration.md lists every setting with its type, default and meaning,
-// as the code has them.
+// docs/configuration.md must list every setting with the type, default and
+// meaning in the code.
 
 #include <gtest/gtest.h>
 
@@ -17,7 +17,7 @@
                                : std::string(info.default_text).empty()
                                    ? "empty"
                                    : "`" + std::string(info.default_text) + "`";
-  return "| `" + std::string(info.path) + "` | " + TypeWord(info.type) + " | " +
+  return "| `" + std::string(info.path) + "` | " + TypeName(info.type) + " | " +
          fallback + " |";
 }
 
